--- a/decide/src/main/java/org/snowwind/decide/admission/ConcurrencyLimit.java
+++ b/decide/src/main/java/org/snowwind/decide/admission/ConcurrencyLimit.java
@@ -1,27 +1,32 @@
 package org.snowwind.decide.admission;
 
 /**
- * Finds how many requests a back end takes at once before they wait inside it.
+ * Estimates how many requests a back end can run concurrently before they queue inside
+ * it.
  *
  * <p>
- * Each sample is the delay from sending a request to the first byte of its answer. While
- * the smoothed delay stays near the lowest seen, the limit grows by one in each limit's
- * worth of samples; when it rises over the tolerated multiple, it shrinks by a tenth. An
- * engine that works in steps answers a lucky request almost at once, so a fixed slack of
- * some steps is tolerated whatever the lowest delay is.
+ * Each sample is the delay from sending a request to the first byte of its response.
+ * While the smoothed delay stays within a tolerated multiple of the lowest delay, the
+ * limit grows by one per round, which is as many samples as the limit. When the smoothed
+ * delay exceeds that multiple, the limit shrinks by a tenth. An engine that works in
+ * steps answers a request that arrives just before a step almost at once, so a fixed
+ * slack of some steps is tolerated however low the lowest delay is.
  */
 public final class ConcurrencyLimit {
 
-	private static final double SHRINK = 0.9;
+	private static final double SHRINK_FACTOR = 0.9;
 
-	/** The floor drifts up slowly, so that a changed back end is learnt anew. */
-	private static final double FLOOR_DRIFT = 1.01;
+	/**
+	 * The factor by which the lowest delay slowly grows with each sample, so that it
+	 * adapts when the back end changes.
+	 */
+	private static final double FLOOR_GROWTH = 1.01;
 
 	private static final double SLACK_MILLIS = 15;
 
-	private static final double FELT_SHARE = 0.9;
+	private static final double FULL_SHARE = 0.9;
 
-	private static final double NEW_SAMPLE_SHARE = 0.2;
+	private static final double NEW_SAMPLE_WEIGHT = 0.2;
 
 	private final int lowest;
 
@@ -39,10 +44,11 @@
 
 	/**
 	 * Creates a limit.
-	 * @param start the first limit
-	 * @param lowest never lower than this
-	 * @param highest never higher than this
-	 * @param toleratedMultiple how far over the lowest delay a sample may lie
+	 * @param start the initial limit
+	 * @param lowest the lowest limit
+	 * @param highest the highest limit
+	 * @param toleratedMultiple the multiple of the lowest delay up to which the smoothed
+	 * delay is tolerated
 	 */
 	public ConcurrencyLimit(int start, int lowest, int highest, double toleratedMultiple) {
 		this.limit = start;
@@ -52,31 +58,32 @@
 	}
 
 	/**
-	 * Returns the limit.
-	 * @return a number of requests
+	 * Returns the current limit.
+	 * @return how many requests may run concurrently
 	 */
 	public int current() {
 		return (int) this.limit;
 	}
 
 	/**
-	 * Takes note of a sample.
-	 * @param delayMillis from sending to the first byte, in milliseconds
-	 * @param runningThen how many requests ran when it was sent
+	 * Records a sample.
+	 * @param delayMillis the time from sending the request to the first byte of its
+	 * response, in milliseconds
+	 * @param runningAtSend how many requests were running when it was sent
 	 */
-	public void sample(double delayMillis, int runningThen) {
+	public void sample(double delayMillis, int runningAtSend) {
 		double delay = Math.max(1, delayMillis);
-		this.floorMillis = Math.min(this.floorMillis * FLOOR_DRIFT, delay);
+		this.floorMillis = Math.min(this.floorMillis * FLOOR_GROWTH, delay);
 		boolean first = this.smoothedMillis < 0;
-		this.smoothedMillis = first ? delay : this.smoothedMillis * (1 - NEW_SAMPLE_SHARE) + delay * NEW_SAMPLE_SHARE;
+		this.smoothedMillis = first ? delay : this.smoothedMillis * (1 - NEW_SAMPLE_WEIGHT) + delay * NEW_SAMPLE_WEIGHT;
 		this.samplesSinceShrink++;
 		double tolerated = Math.max(this.floorMillis * this.toleratedMultiple, this.floorMillis + SLACK_MILLIS);
 		if (this.smoothedMillis > tolerated) {
 			shrinkOncePerRound();
 			return;
 		}
-		boolean limitWasFelt = runningThen >= current() * FELT_SHARE;
-		if (limitWasFelt) {
+		boolean limitWasReached = runningAtSend >= current() * FULL_SHARE;
+		if (limitWasReached) {
 			this.limit = Math.min(this.highest, this.limit + 1 / this.limit);
 		}
 	}
@@ -86,7 +93,7 @@
 			return;
 		}
 		this.samplesSinceShrink = 0;
-		this.limit = Math.max(this.lowest, this.limit * SHRINK);
+		this.limit = Math.max(this.lowest, this.limit * SHRINK_FACTOR);
 	}
 
 }
--- a/decide/src/main/java/org/snowwind/decide/admission/FairQueue.java
+++ b/decide/src/main/java/org/snowwind/decide/admission/FairQueue.java
@@ -15,11 +15,11 @@
  * Serves backlogged organisations in proportion to their weights by deficit round robin.
  *
  * <p>
- * Each organisation has a bounded queue. In each round it may spend a quantum, times its
- * weight, of cost. A served organisation is therefore at most one quantum and one request
+ * Each organisation has a bounded queue. In each round it may spend a cost of one quantum
+ * times its weight. Therefore an organisation is at most one quantum and one request
  * ahead of its share, whatever the others send.
  *
- * @param <T> what waits
+ * @param <T> the type of the queued work
  */
 public final class FairQueue<T> {
 
@@ -29,16 +29,16 @@
 
 	private final ToDoubleFunction<String> weights;
 
-	private final Map<String, Lane<T>> lanes = new HashMap<>();
+	private final Map<String, Backlog<T>> backlogs = new HashMap<>();
 
-	private final Deque<Lane<T>> active = new ArrayDeque<>();
+	private final Deque<Backlog<T>> active = new ArrayDeque<>();
 
 	private int size;
 
 	/**
 	 * Creates an empty queue.
-	 * @param quantumCost what an organisation of weight 1 may spend in a round
-	 * @param maxWaitingPerOrganisation the bound of each organisation's queue
+	 * @param quantumCost the cost that an organisation of weight 1 may spend in a round
+	 * @param maxWaitingPerOrganisation the capacity of each organisation's queue
 	 * @param weights the weight of an organisation by its name
 	 */
 	public FairQueue(double quantumCost, int maxWaitingPerOrganisation, ToDoubleFunction<String> weights) {
@@ -48,70 +48,70 @@
 	}
 
 	/**
-	 * Adds work.
-	 * @param organisation whose it is
+	 * Adds work to the queue of its organisation.
+	 * @param organisation the organisation's name
 	 * @param work the work
-	 * @param cost what it costs
-	 * @param deadlineMillis when it is of no more use, in milliseconds
+	 * @param cost its cost
+	 * @param deadlineMillis when it expires, in milliseconds
 	 * @return false if the organisation's queue is full
 	 */
 	public boolean offer(String organisation, T work, double cost, long deadlineMillis) {
-		Lane<T> lane = this.lanes.computeIfAbsent(organisation, Lane::new);
-		if (lane.waiting.size() >= this.maxWaitingPerOrganisation) {
+		Backlog<T> backlog = this.backlogs.computeIfAbsent(organisation, Backlog::new);
+		if (backlog.waiting.size() >= this.maxWaitingPerOrganisation) {
 			return false;
 		}
-		lane.waiting.add(new Waiting<>(work, cost, deadlineMillis));
+		backlog.waiting.add(new Item<>(work, cost, deadlineMillis));
 		this.size++;
-		if (!lane.active) {
-			lane.active = true;
-			lane.deficit = 0;
-			lane.granted = false;
-			this.active.addLast(lane);
+		if (!backlog.active) {
+			backlog.active = true;
+			backlog.deficit = 0;
+			backlog.quantumGranted = false;
+			this.active.addLast(backlog);
 		}
 		return true;
 	}
 
 	/**
-	 * Takes the next work.
-	 * @return the work, or empty if nothing waits
+	 * Removes and returns the next work.
+	 * @return the work, or empty if the queue is empty
 	 */
 	public Optional<T> poll() {
 		return poll((organisation) -> true);
 	}
 
 	/**
-	 * Takes the next work of organisations that may begin some.
-	 * @param mayBegin whether an organisation may begin work now
-	 * @return the work, or empty if none may begin
+	 * Removes and returns the next work of an organisation that may begin work now.
+	 * @param mayBegin whether an organisation, by its name, may begin work
+	 * @return the work, or empty if no queued work may begin
 	 */
 	public Optional<T> poll(Predicate<String> mayBegin) {
 		int blockedInARow = 0;
 		while (blockedInARow < this.active.size()) {
-			Lane<T> lane = this.active.peekFirst();
-			if (lane.waiting.isEmpty()) {
-				retire(lane);
+			Backlog<T> backlog = this.active.peekFirst();
+			if (backlog.waiting.isEmpty()) {
+				deactivate(backlog);
 				continue;
 			}
-			if (!mayBegin.test(lane.organisation)) {
+			if (!mayBegin.test(backlog.organisation)) {
 				blockedInARow++;
-				rotate(lane);
+				rotate(backlog);
 				continue;
 			}
 			blockedInARow = 0;
-			if (!lane.granted) {
-				lane.granted = true;
-				lane.deficit += this.quantumCost * this.weights.applyAsDouble(lane.organisation);
+			if (!backlog.quantumGranted) {
+				backlog.quantumGranted = true;
+				backlog.deficit += this.quantumCost * this.weights.applyAsDouble(backlog.organisation);
 			}
-			if (lane.waiting.peekFirst().cost() <= lane.deficit) {
-				return Optional.of(serve(lane));
+			if (backlog.waiting.peekFirst().cost() <= backlog.deficit) {
+				return Optional.of(serve(backlog));
 			}
-			rotate(lane);
+			rotate(backlog);
 		}
 		return Optional.empty();
 	}
 
-	private void rotate(Lane<T> lane) {
-		lane.granted = false;
+	private void rotate(Backlog<T> backlog) {
+		backlog.quantumGranted = false;
 		this.active.addLast(this.active.removeFirst());
 	}
 
@@ -122,10 +122,10 @@
 	 */
 	public List<T> expire(long nowMillis) {
 		List<T> expired = new ArrayList<>();
-		for (Lane<T> lane : this.active) {
-			Iterator<Waiting<T>> waiting = lane.waiting.iterator();
+		for (Backlog<T> backlog : this.active) {
+			Iterator<Item<T>> waiting = backlog.waiting.iterator();
 			while (waiting.hasNext()) {
-				Waiting<T> next = waiting.next();
+				Item<T> next = waiting.next();
 				if (next.deadlineMillis() <= nowMillis) {
 					waiting.remove();
 					this.size--;
@@ -137,14 +137,14 @@
 	}
 
 	/**
-	 * Removes one piece of work.
-	 * @param organisation whose it is
+	 * Removes queued work.
+	 * @param organisation the organisation's name
 	 * @param work the work
-	 * @return true if it waited here
+	 * @return true if it was queued
 	 */
 	public boolean remove(String organisation, T work) {
-		Lane<T> lane = this.lanes.get(organisation);
-		boolean removed = lane != null && lane.waiting.removeIf((waiting) -> waiting.work().equals(work));
+		Backlog<T> backlog = this.backlogs.get(organisation);
+		boolean removed = backlog != null && backlog.waiting.removeIf((waiting) -> waiting.work().equals(work));
 		if (removed) {
 			this.size--;
 		}
@@ -152,55 +152,55 @@
 	}
 
 	/**
-	 * Counts what waits of one organisation.
+	 * Returns how much work of an organisation is queued.
 	 * @param organisation the organisation's name
-	 * @return a number of pieces of work
+	 * @return the number of items
 	 */
 	public int waiting(String organisation) {
-		Lane<T> lane = this.lanes.get(organisation);
-		return (lane != null) ? lane.waiting.size() : 0;
+		Backlog<T> backlog = this.backlogs.get(organisation);
+		return (backlog != null) ? backlog.waiting.size() : 0;
 	}
 
 	/**
-	 * Counts what waits.
-	 * @return a number of pieces of work
+	 * Returns how much work is queued.
+	 * @return the number of items
 	 */
 	public int size() {
 		return this.size;
 	}
 
-	private T serve(Lane<T> lane) {
-		Waiting<T> next = lane.waiting.removeFirst();
-		lane.deficit -= next.cost();
+	private T serve(Backlog<T> backlog) {
+		Item<T> next = backlog.waiting.removeFirst();
+		backlog.deficit -= next.cost();
 		this.size--;
-		if (lane.waiting.isEmpty()) {
-			retire(lane);
+		if (backlog.waiting.isEmpty()) {
+			deactivate(backlog);
 		}
 		return next.work();
 	}
 
-	private void retire(Lane<T> lane) {
-		lane.active = false;
-		this.active.remove(lane);
-		this.lanes.remove(lane.organisation);
+	private void deactivate(Backlog<T> backlog) {
+		backlog.active = false;
+		this.active.remove(backlog);
+		this.backlogs.remove(backlog.organisation);
 	}
 
-	private record Waiting<T>(T work, double cost, long deadlineMillis) {
+	private record Item<T>(T work, double cost, long deadlineMillis) {
 	}
 
-	private static final class Lane<T> {
+	private static final class Backlog<T> {
 
 		private final String organisation;
 
-		private final Deque<Waiting<T>> waiting = new ArrayDeque<>();
+		private final Deque<Item<T>> waiting = new ArrayDeque<>();
 
 		private double deficit;
 
 		private boolean active;
 
-		private boolean granted;
+		private boolean quantumGranted;
 
-		private Lane(String organisation) {
+		private Backlog(String organisation) {
 			this.organisation = organisation;
 		}
 
--- a/decide/src/main/java/org/snowwind/decide/admission/RetryBudget.java
+++ b/decide/src/main/java/org/snowwind/decide/admission/RetryBudget.java
@@ -4,45 +4,45 @@
  * Allows retries as a fraction of recent first attempts.
  *
  * <p>
- * When everything fails, the retries of an organisation add at most the fraction to its
- * load, plus a small constant that lets a quiet organisation retry at all.
+ * When all attempts fail, the retries of an organisation add at most this fraction to its
+ * load, plus a small constant that allows retries to an organisation with few requests.
  */
 public final class RetryBudget {
 
 	private final double fraction;
 
-	private final double most;
+	private final double maxBalance;
 
 	private double balance;
 
 	/**
 	 * Creates a budget that starts full.
 	 * @param fraction retries per first attempt
-	 * @param most the most retries that can be saved up
+	 * @param maxBalance the most unused retries that are saved
 	 */
-	public RetryBudget(double fraction, double most) {
+	public RetryBudget(double fraction, double maxBalance) {
 		this.fraction = fraction;
-		this.most = most;
-		this.balance = most;
+		this.maxBalance = maxBalance;
+		this.balance = maxBalance;
 	}
 
 	/**
-	 * Takes note of a first attempt.
+	 * Records a first attempt.
 	 */
 	public void firstAttempt() {
-		this.balance = Math.min(this.most, this.balance + this.fraction);
+		this.balance = Math.min(this.maxBalance, this.balance + this.fraction);
 	}
 
 	/**
-	 * Tells whether a retry is allowed.
-	 * @return true if it is
+	 * Returns whether a retry is allowed.
+	 * @return true if the budget has a retry left
 	 */
 	public boolean allows() {
 		return this.balance >= 1;
 	}
 
 	/**
-	 * Takes note of a retry.
+	 * Records a retry.
 	 */
 	public void retried() {
 		this.balance -= 1;
--- a/decide/src/main/java/org/snowwind/decide/admission/ShareGuard.java
+++ b/decide/src/main/java/org/snowwind/decide/admission/ShareGuard.java
@@ -5,20 +5,20 @@
 import java.util.function.ToDoubleFunction;
 
 /**
- * Keeps places free for organisations that use less than their share, as many as they
- * needed lately.
+ * Reserves slots of a back end for organisations that use less than their share, as many
+ * as they needed recently.
  *
  * <p>
- * A fair queue alone lets a flooding organisation fill every place of a back end, and a
- * quiet one then waits until work ends. Here an organisation over its share may not take
- * a place that another one, under its own share, needed at its recent peak. What peaks do
- * not claim is free for all, so little is left idle.
+ * A fair queue alone lets one organisation that floods the back end occupy all its slots,
+ * so that another organisation waits until work ends. Here an organisation that exceeds
+ * its share may not take a slot that another one, below its own share, needed at its
+ * recent peak. Slots that no peak claims are available to all, so few stay idle.
  */
 public final class ShareGuard {
 
 	private static final double LN_2 = Math.log(2);
 
-	private static final double FORGOTTEN = 0.5;
+	private static final double MIN_PEAK = 0.5;
 
 	private final ToDoubleFunction<String> weights;
 
@@ -29,9 +29,9 @@
 	private int running;
 
 	/**
-	 * Creates a guard that knows no organisations.
+	 * Creates an instance without any organisations.
 	 * @param weights the weight of an organisation by its name
-	 * @param halfLifeMillis after this time a peak counts half, in milliseconds
+	 * @param halfLifeMillis the time in which a peak decays to half, in milliseconds
 	 */
 	public ShareGuard(ToDoubleFunction<String> weights, double halfLifeMillis) {
 		this.weights = weights;
@@ -39,8 +39,8 @@
 	}
 
 	/**
-	 * Takes note of work that arrived.
-	 * @param organisation whose it is
+	 * Records work that arrived.
+	 * @param organisation the organisation's name
 	 * @param nowMillis the time, in milliseconds
 	 */
 	public void arrived(String organisation, long nowMillis) {
@@ -50,16 +50,16 @@
 	}
 
 	/**
-	 * Takes note of work that left without having begun.
-	 * @param organisation whose it is
+	 * Records work that left the queue without having begun.
+	 * @param organisation the organisation's name
 	 */
 	public void left(String organisation) {
 		this.usages.get(organisation).waiting--;
 	}
 
 	/**
-	 * Takes note of work that began.
-	 * @param organisation whose it is
+	 * Records work that began.
+	 * @param organisation the organisation's name
 	 */
 	public void began(String organisation) {
 		Usage usage = this.usages.get(organisation);
@@ -69,8 +69,8 @@
 	}
 
 	/**
-	 * Takes note of work that ended.
-	 * @param organisation whose it is
+	 * Records work that ended.
+	 * @param organisation the organisation's name
 	 */
 	public void ended(String organisation) {
 		this.usages.get(organisation).running--;
@@ -78,9 +78,9 @@
 	}
 
 	/**
-	 * Asks whether an organisation may begin more work.
-	 * @param organisation the organisation
-	 * @param limit how many pieces of work may run at once
+	 * Returns whether an organisation may begin more work.
+	 * @param organisation the organisation's name
+	 * @param limit the concurrency limit of the back end
 	 * @param nowMillis the time, in milliseconds
 	 * @return true if it may
 	 */
@@ -88,28 +88,28 @@
 		if (this.running >= limit) {
 			return false;
 		}
-		double allWeights = activeWeights(nowMillis);
+		double totalWeight = activeWeight(nowMillis);
 		Usage own = this.usages.get(organisation);
-		boolean underShare = own.running < limit * this.weights.applyAsDouble(organisation) / allWeights;
-		return underShare || this.running + reservedForOthers(organisation, limit, allWeights, nowMillis) < limit;
+		boolean belowShare = own.running < limit * this.weights.applyAsDouble(organisation) / totalWeight;
+		return belowShare || this.running + reservedForOthers(organisation, limit, totalWeight, nowMillis) < limit;
 	}
 
 	/**
-	 * Tells how many places an organisation has or may count on.
-	 * @param organisation the organisation
-	 * @param limit how many pieces of work may run at once
+	 * Returns how many slots an organisation occupies or is entitled to.
+	 * @param organisation the organisation's name
+	 * @param limit the concurrency limit of the back end
 	 * @param nowMillis the time, in milliseconds
-	 * @return its running work or its share, whichever is more
+	 * @return its running work or its share of the limit, whichever is more
 	 */
 	public double places(String organisation, int limit, long nowMillis) {
 		Usage own = this.usages.get(organisation);
 		double weight = this.weights.applyAsDouble(organisation);
-		boolean counted = own != null && own.active(nowMillis, this.halfLifeMillis);
-		double share = limit * weight / (activeWeights(nowMillis) + (counted ? 0 : weight));
+		boolean active = own != null && own.active(nowMillis, this.halfLifeMillis);
+		double share = limit * weight / (activeWeight(nowMillis) + (active ? 0 : weight));
 		return Math.max(share, (own != null) ? own.running : 0);
 	}
 
-	private double activeWeights(long nowMillis) {
+	private double activeWeight(long nowMillis) {
 		double sum = 0;
 		for (Map.Entry<String, Usage> entry : this.usages.entrySet()) {
 			if (entry.getValue().active(nowMillis, this.halfLifeMillis)) {
@@ -119,11 +119,11 @@
 		return Math.max(sum, Double.MIN_NORMAL);
 	}
 
-	private int reservedForOthers(String organisation, int limit, double allWeights, long nowMillis) {
+	private int reservedForOthers(String organisation, int limit, double totalWeight, long nowMillis) {
 		int reserved = 0;
 		for (Map.Entry<String, Usage> entry : this.usages.entrySet()) {
 			if (!entry.getKey().equals(organisation)) {
-				int share = (int) (limit * this.weights.applyAsDouble(entry.getKey()) / allWeights);
+				int share = (int) (limit * this.weights.applyAsDouble(entry.getKey()) / totalWeight);
 				reserved += entry.getValue().unusedPeak(share, nowMillis, this.halfLifeMillis);
 			}
 		}
@@ -131,7 +131,7 @@
 	}
 
 	/**
-	 * Forgets organisations that have long been away.
+	 * Removes organisations without work whose peak has decayed.
 	 * @param nowMillis the time, in milliseconds
 	 */
 	public void forgetIdle(long nowMillis) {
@@ -152,22 +152,22 @@
 			this.peakMillis = nowMillis;
 		}
 
-		private double peakNow(long nowMillis, double halfLifeMillis) {
+		private double decayedPeak(long nowMillis, double halfLifeMillis) {
 			return this.peak * Math.exp(-LN_2 * (nowMillis - this.peakMillis) / halfLifeMillis);
 		}
 
 		private void raisePeak(long nowMillis, double halfLifeMillis) {
-			this.peak = Math.max(this.waiting + this.running, peakNow(nowMillis, halfLifeMillis));
+			this.peak = Math.max(this.waiting + this.running, decayedPeak(nowMillis, halfLifeMillis));
 			this.peakMillis = nowMillis;
 		}
 
 		private boolean active(long nowMillis, double halfLifeMillis) {
-			return this.waiting + this.running > 0 || peakNow(nowMillis, halfLifeMillis) >= FORGOTTEN;
+			return this.waiting + this.running > 0 || decayedPeak(nowMillis, halfLifeMillis) >= MIN_PEAK;
 		}
 
 		private int unusedPeak(int share, long nowMillis, double halfLifeMillis) {
-			long wanted = Math.min(share, Math.round(peakNow(nowMillis, halfLifeMillis)));
-			return (int) Math.max(0, wanted - this.running);
+			long reserved = Math.min(share, Math.round(decayedPeak(nowMillis, halfLifeMillis)));
+			return (int) Math.max(0, reserved - this.running);
 		}
 
 	}
--- a/decide/src/main/java/org/snowwind/decide/admission/TokenBucket.java
+++ b/decide/src/main/java/org/snowwind/decide/admission/TokenBucket.java
@@ -1,7 +1,7 @@
 package org.snowwind.decide.admission;
 
 /**
- * Lets through a steady rate with bursts.
+ * Limits a rate and allows bursts. Each admitted request takes one token.
  */
 public final class TokenBucket {
 
@@ -17,8 +17,8 @@
 
 	/**
 	 * Creates a full bucket.
-	 * @param ratePerSecond tokens that come in each second
-	 * @param burst the most tokens it holds
+	 * @param ratePerSecond how many tokens are added per second
+	 * @param burst the capacity, in tokens
 	 * @param nowMillis the time, in milliseconds
 	 */
 	public TokenBucket(double ratePerSecond, double burst, long nowMillis) {
@@ -29,9 +29,10 @@
 	}
 
 	/**
-	 * Changes the limits; what is in the bucket stays, up to the new burst.
-	 * @param newRatePerSecond tokens that come in each second
-	 * @param newBurst the most tokens it holds
+	 * Changes the rate and the capacity. The bucket keeps its tokens up to the new
+	 * capacity.
+	 * @param newRatePerSecond how many tokens are added per second
+	 * @param newBurst the capacity, in tokens
 	 */
 	public void limits(double newRatePerSecond, double newBurst) {
 		this.ratePerSecond = newRatePerSecond;
@@ -42,7 +43,7 @@
 	/**
 	 * Takes one token if there is one.
 	 * @param nowMillis the time, in milliseconds
-	 * @return true if it was taken
+	 * @return true if a token was taken
 	 */
 	public boolean tryTake(long nowMillis) {
 		double elapsedSeconds = (nowMillis - this.refilledMillis) / MILLIS_PER_SECOND;
@@ -56,8 +57,9 @@
 	}
 
 	/**
-	 * Tells when the next token comes.
-	 * @return from now, in milliseconds
+	 * Returns how long it takes until a token is available. The time counts from the last
+	 * call of {@link #tryTake}.
+	 * @return the time, in milliseconds
 	 */
 	public long nextTokenMillis() {
 		double missing = Math.max(0, 1 - this.tokens);
--- a/decide/src/main/java/org/snowwind/decide/admission/WaitEstimate.java
+++ b/decide/src/main/java/org/snowwind/decide/admission/WaitEstimate.java
@@ -1,41 +1,42 @@
 package org.snowwind.decide.admission;
 
 /**
- * Estimates how long work would wait before a back end, from how long work took lately.
+ * Estimates the queueing delay of new work at a back end from the recent duration of
+ * work.
  *
  * <p>
- * Work that could not end in time is refused when it arrives, not when its time is up, so
- * that its caller learns at once.
+ * Work that could not end before its deadline is rejected when it arrives, not when the
+ * deadline has passed, so that its caller is told at once.
  */
 public final class WaitEstimate {
 
-	private static final double NEW_SAMPLE_SHARE = 0.1;
+	private static final double NEW_SAMPLE_WEIGHT = 0.1;
 
 	private double serviceMillis;
 
 	/**
-	 * Takes note of work that ended.
-	 * @param tookMillis how long it ran, in milliseconds
+	 * Records work that ended.
+	 * @param durationMillis how long it ran, in milliseconds
 	 */
-	public void ended(long tookMillis) {
+	public void ended(long durationMillis) {
 		boolean first = this.serviceMillis == 0;
-		this.serviceMillis = first ? tookMillis
-				: this.serviceMillis * (1 - NEW_SAMPLE_SHARE) + tookMillis * NEW_SAMPLE_SHARE;
+		this.serviceMillis = first ? durationMillis
+				: this.serviceMillis * (1 - NEW_SAMPLE_WEIGHT) + durationMillis * NEW_SAMPLE_WEIGHT;
 	}
 
 	/**
 	 * Estimates how long new work of an organisation would wait before it begins.
-	 * @param ownWaiting how much of the organisation's work waits already
-	 * @param places how many places the organisation has at the back end
-	 * @return milliseconds
+	 * @param ownQueued how many items of the organisation are already queued
+	 * @param slots how many slots of the back end the organisation can use
+	 * @return the delay, in milliseconds
 	 */
-	public long waitMillis(int ownWaiting, double places) {
-		return Math.round((ownWaiting + 1) * this.serviceMillis / places);
+	public long waitMillis(int ownQueued, double slots) {
+		return Math.round((ownQueued + 1) * this.serviceMillis / slots);
 	}
 
 	/**
-	 * Tells how long work runs.
-	 * @return milliseconds, 0 before any has ended
+	 * Returns how long work runs on average.
+	 * @return the time, in milliseconds; 0 before any work has ended
 	 */
 	public long serviceMillis() {
 		return Math.round(this.serviceMillis);
--- a/decide/src/main/java/org/snowwind/decide/admission/WindowedRetryBudget.java
+++ b/decide/src/main/java/org/snowwind/decide/admission/WindowedRetryBudget.java
@@ -4,32 +4,32 @@
 import java.util.Deque;
 
 /**
- * Allows one process its part of the retries that all processes together may make in a
- * sliding window.
+ * Limits the retries of one process to its share of the retries that all processes
+ * together may make in a sliding window.
  *
  * <p>
- * Each process spends a fraction of the requests that it took itself, and an equal part
- * of a fixed extra. So the sum over all processes stays within the bound without a word
- * between them.
+ * Each process may spend a fraction of the requests that it received itself, and an equal
+ * share of a fixed extra. The sum over all processes therefore stays within the bound
+ * without coordination.
  *
  * <p>
- * A process that was started again does not know what its earlier life has spent, so it
- * takes that life's whole part for spent until a window is over, and lives on a reserve
- * that no older process touches. Where six of seven processes were killed while servers
- * turned requests away, the bound of 206 retries in ten seconds was passed by 42 and by
- * 47 on two days played without this.
+ * A restarted process does not know what its earlier incarnation has spent. Until one
+ * window has passed, it assumes that the incarnation spent its whole share, and uses a
+ * reserve that no older process uses. Without this rule, killing six of seven processes
+ * while servers rejected requests exceeded the bound of 206 retries in ten seconds by 42
+ * in one run and by 47 in another.
  */
 public final class WindowedRetryBudget {
 
-	/** The part of the bound that is for processes which have run for a whole window. */
-	private static final double STANDING_PART = 0.8;
+	/** The fraction of the bound for processes that have run for at least one window. */
+	private static final double ESTABLISHED_FRACTION = 0.8;
 
 	/**
-	 * The part of the bound that is for processes in their first window, however often
-	 * they are started. What is left is for requests and retries that reach a server a
-	 * little later than they are counted here.
+	 * The fraction of the bound for processes in their first window, however often they
+	 * are restarted. The remaining fraction covers requests and retries that reach a
+	 * server slightly later than they are counted here.
 	 */
-	private static final double STARTED_PART = 0.15;
+	private static final double FIRST_WINDOW_FRACTION = 0.15;
 
 	private final double fraction;
 
@@ -39,15 +39,15 @@
 
 	private final long startedMillis;
 
-	private final Deque<Long> requestsMillis = new ArrayDeque<>();
+	private final Deque<Long> requestMillis = new ArrayDeque<>();
 
-	private final Deque<Long> retriesMillis = new ArrayDeque<>();
+	private final Deque<Long> retryMillis = new ArrayDeque<>();
 
 	/**
 	 * Creates a budget.
 	 * @param fraction retries per request
-	 * @param extra further retries in a window, for all processes together
-	 * @param windowMillis the window, in milliseconds
+	 * @param extra additional retries in a window, for all processes together
+	 * @param windowMillis the length of the window, in milliseconds
 	 * @param startedMillis when this process was started, in milliseconds
 	 */
 	public WindowedRetryBudget(double fraction, int extra, long windowMillis, long startedMillis) {
@@ -58,54 +58,54 @@
 	}
 
 	/**
-	 * Takes note of a request.
+	 * Records a request.
 	 * @param nowMillis the time, in milliseconds
 	 */
 	public void request(long nowMillis) {
-		this.requestsMillis.addLast(nowMillis);
-		forget(nowMillis);
+		this.requestMillis.addLast(nowMillis);
+		removeExpired(nowMillis);
 	}
 
 	/**
-	 * Takes note of a retry.
+	 * Records a retry.
 	 * @param nowMillis the time, in milliseconds
 	 */
 	public void retried(long nowMillis) {
-		this.retriesMillis.addLast(nowMillis);
+		this.retryMillis.addLast(nowMillis);
 	}
 
 	/**
-	 * Tells whether a retry is allowed.
+	 * Returns whether a retry is allowed.
 	 * @param nowMillis the time, in milliseconds
-	 * @param processes how many processes share the extra; 0 while that is not known, and
-	 * then none of it is spent
-	 * @return true if it is
+	 * @param processes how many processes share the extra; 0 while the number is unknown,
+	 * so that none of the extra is spent
+	 * @return true if this process has a retry left
 	 */
 	public boolean allows(long nowMillis, int processes) {
-		forget(nowMillis);
+		removeExpired(nowMillis);
 		double share = (processes > 0) ? (double) this.extra / processes : 0;
-		double allowed = (nowMillis - this.startedMillis < this.windowMillis) ? allowedAtFirst(share, nowMillis)
-				: allowedStanding(share);
-		return this.retriesMillis.size() + 1 <= allowed;
+		double allowed = (nowMillis - this.startedMillis < this.windowMillis) ? allowedInFirstWindow(share, nowMillis)
+				: allowedWhenEstablished(share);
+		return this.retryMillis.size() + 1 <= allowed;
 	}
 
-	private double allowedStanding(double share) {
-		return STANDING_PART * (this.fraction * this.requestsMillis.size() + share);
+	private double allowedWhenEstablished(double share) {
+		return ESTABLISHED_FRACTION * (this.fraction * this.requestMillis.size() + share);
 	}
 
-	// The extra grows with the time since the start, so that many starts within one
-	// window spend no more of it than one.
-	private double allowedAtFirst(double share, long nowMillis) {
-		double runFor = (double) (nowMillis - this.startedMillis) / this.windowMillis;
-		return STARTED_PART * (this.fraction * this.requestsMillis.size() + runFor * share);
+	// The extra grows with the time since the start, so that several restarts within one
+	// window spend no more of it than a single one.
+	private double allowedInFirstWindow(double share, long nowMillis) {
+		double elapsedFraction = (double) (nowMillis - this.startedMillis) / this.windowMillis;
+		return FIRST_WINDOW_FRACTION * (this.fraction * this.requestMillis.size() + elapsedFraction * share);
 	}
 
-	private void forget(long nowMillis) {
-		forget(this.requestsMillis, nowMillis);
-		forget(this.retriesMillis, nowMillis);
+	private void removeExpired(long nowMillis) {
+		removeExpired(this.requestMillis, nowMillis);
+		removeExpired(this.retryMillis, nowMillis);
 	}
 
-	private void forget(Deque<Long> times, long nowMillis) {
+	private void removeExpired(Deque<Long> times, long nowMillis) {
 		while (!times.isEmpty() && times.peekFirst() <= nowMillis - this.windowMillis) {
 			times.removeFirst();
 		}
--- a/decide/src/main/java/org/snowwind/decide/admission/package-info.java
+++ b/decide/src/main/java/org/snowwind/decide/admission/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Whose request is next, and who is refused.
+ * Admission control: rate limits, concurrency limits, fair queueing and retry budgets.
  */
 package org.snowwind.decide.admission;
--- a/decide/src/main/java/org/snowwind/decide/limit/ArrivalRate.java
+++ b/decide/src/main/java/org/snowwind/decide/limit/ArrivalRate.java
@@ -1,35 +1,36 @@
 package org.snowwind.decide.limit;
 
 /**
- * How many requests of one kind a process gets in a second, of late.
+ * Estimates the rate at which a process receives requests of one kind, as an
+ * exponentially decaying average.
  */
 public final class ArrivalRate {
 
-	/** What came so long ago counts a third, in milliseconds. */
-	private static final double MEMORY_MILLIS = 5000;
+	/** The age at which the weight of a request has decayed to 1/e, in milliseconds. */
+	private static final double DECAY_MILLIS = 5000;
 
 	private static final double MILLIS_PER_SECOND = 1000;
 
 	private double perSecond;
 
-	private long asOfMillis;
+	private long updatedMillis;
 
 	/**
-	 * Takes note of a request.
+	 * Records a request.
 	 * @param nowMillis the time, in milliseconds
 	 */
 	public void arrived(long nowMillis) {
-		this.perSecond = perSecond(nowMillis) + MILLIS_PER_SECOND / MEMORY_MILLIS;
-		this.asOfMillis = nowMillis;
+		this.perSecond = perSecond(nowMillis) + MILLIS_PER_SECOND / DECAY_MILLIS;
+		this.updatedMillis = nowMillis;
 	}
 
 	/**
-	 * Returns the rate.
+	 * Returns the current estimate.
 	 * @param nowMillis the time, in milliseconds
 	 * @return requests per second
 	 */
 	public double perSecond(long nowMillis) {
-		return this.perSecond * Math.exp((this.asOfMillis - nowMillis) / MEMORY_MILLIS);
+		return this.perSecond * Math.exp((this.updatedMillis - nowMillis) / DECAY_MILLIS);
 	}
 
 }
--- a/decide/src/main/java/org/snowwind/decide/limit/CallAllowance.java
+++ b/decide/src/main/java/org/snowwind/decide/limit/CallAllowance.java
@@ -4,48 +4,53 @@
 import java.util.Deque;
 
 /**
- * What one process may send to a limited server beside the requests of callers: questions
- * and orders that nobody else sends it.
+ * Limits what one process sends to a rate-limited server in addition to the requests of
+ * callers: queries and orders that no other process sends it.
  *
  * <p>
- * Callers' requests use the whole rate. What a server bears beyond it for a moment is
- * left to these, so that a server in need still tells how it fares.
+ * The requests of callers may use the whole rate. The excess that a server tolerates for
+ * a short time is reserved for these calls, so that an overloaded server can still be
+ * asked for its state.
  */
 public final class CallAllowance {
 
-	/** Over so long a time a server counts what it gets, in milliseconds. */
+	/**
+	 * The window over which a server counts the requests that it receives, in
+	 * milliseconds.
+	 */
 	private static final long WINDOW_MILLIS = 4000;
 
 	/**
-	 * So many more than one second's rate are borne in a window beside what callers send.
+	 * How many calls beyond one second's rate a server tolerates in a window, in addition
+	 * to the requests of callers.
 	 */
-	private static final int EXTRA = 3;
+	private static final int EXTRA_CALLS = 3;
 
-	private final Deque<Long> madeMillis = new ArrayDeque<>();
+	private final Deque<Long> callMillis = new ArrayDeque<>();
 
 	/**
-	 * Takes note of a call.
+	 * Records a call.
 	 * @param nowMillis the time, in milliseconds
 	 */
 	public void made(long nowMillis) {
-		forget(nowMillis);
-		this.madeMillis.addLast(nowMillis);
+		removeExpired(nowMillis);
+		this.callMillis.addLast(nowMillis);
 	}
 
 	/**
-	 * Tells how many calls are left.
+	 * Returns how many calls may still be made.
 	 * @param limitPerSecond the server's limit, in requests per second
 	 * @param nowMillis the time, in milliseconds
-	 * @return a number of calls, 0 or less for none
+	 * @return the number of calls; 0 or less if none may be made
 	 */
 	public double left(double limitPerSecond, long nowMillis) {
-		forget(nowMillis);
-		return limitPerSecond + EXTRA - this.madeMillis.size();
+		removeExpired(nowMillis);
+		return limitPerSecond + EXTRA_CALLS - this.callMillis.size();
 	}
 
-	private void forget(long nowMillis) {
-		while (!this.madeMillis.isEmpty() && this.madeMillis.peekFirst() <= nowMillis - WINDOW_MILLIS) {
-			this.madeMillis.removeFirst();
+	private void removeExpired(long nowMillis) {
+		while (!this.callMillis.isEmpty() && this.callMillis.peekFirst() <= nowMillis - WINDOW_MILLIS) {
+			this.callMillis.removeFirst();
 		}
 	}
 
--- a/decide/src/main/java/org/snowwind/decide/limit/GrantedRate.java
+++ b/decide/src/main/java/org/snowwind/decide/limit/GrantedRate.java
@@ -1,48 +1,51 @@
 package org.snowwind.decide.limit;
 
 /**
- * The part of a server's rate that this process was granted, and what it has left of it.
+ * Tracks the share of a server's rate that this process was granted, and how much of it
+ * is unused.
  *
  * <p>
- * A part that was granted anew begins with nothing saved, so that parts which change
- * hands are not used twice.
+ * A process that held no share before starts without saved requests, so that shares which
+ * move from one process to another are not used twice.
  */
 public final class GrantedRate {
 
 	private static final double MILLIS_PER_SECOND = 1000;
 
-	/** Single requests are for those that wait now, and lapse after this time. */
+	/**
+	 * Single requests are granted for those that wait now, and expire after this time.
+	 */
 	private static final long SINGLES_MILLIS = 1000;
 
 	private RateGrant grant = RateGrant.NOTHING;
 
-	private long untilMillis = Long.MIN_VALUE;
+	private long expiryMillis = Long.MIN_VALUE;
 
-	private double saved;
+	private double savedRequests;
 
-	private long savedMillis;
+	private long savedAtMillis;
 
 	private int singles;
 
 	private final ArrivalRate singlesRate = new ArrivalRate();
 
-	private long singlesUntilMillis = Long.MIN_VALUE;
+	private long singlesExpiryMillis = Long.MIN_VALUE;
 
 	/**
-	 * Takes over a grant.
-	 * @param next what is granted
-	 * @param askedMillis when it was asked for, in milliseconds
+	 * Replaces the current grant.
+	 * @param next the new grant
+	 * @param requestedMillis when the grant was requested, in milliseconds
 	 * @param limitPerSecond the server's limit as it is known now
 	 * @param nowMillis the time, in milliseconds
 	 */
-	public void use(RateGrant next, long askedMillis, double limitPerSecond, long nowMillis) {
-		save(limitPerSecond, nowMillis);
+	public void use(RateGrant next, long requestedMillis, double limitPerSecond, long nowMillis) {
+		accrue(limitPerSecond, nowMillis);
 		this.grant = next;
-		this.untilMillis = askedMillis + next.validMillis();
-		this.saved = (next.perSecond() > 0) ? Math.min(this.saved, next.burst()) : 0;
+		this.expiryMillis = requestedMillis + next.validMillis();
+		this.savedRequests = (next.perSecond() > 0) ? Math.min(this.savedRequests, next.burst()) : 0;
 		if (next.singles() > 0) {
-			this.singles = next.singles() + (singlesLeft(nowMillis) ? this.singles : 0);
-			this.singlesUntilMillis = askedMillis + SINGLES_MILLIS;
+			this.singles = next.singles() + (hasSingles(nowMillis) ? this.singles : 0);
+			this.singlesExpiryMillis = requestedMillis + SINGLES_MILLIS;
 		}
 		for (int i = 0; i < next.singles(); i++) {
 			this.singlesRate.arrived(nowMillis);
@@ -50,59 +53,59 @@
 	}
 
 	/**
-	 * Tells whether a request may be sent.
+	 * Returns whether a request may be sent.
 	 * @param limitPerSecond the server's limit as it is known now
 	 * @param nowMillis the time, in milliseconds
-	 * @return true if one is left
+	 * @return true if the grant allows another request
 	 */
 	public boolean allows(double limitPerSecond, long nowMillis) {
-		save(limitPerSecond, nowMillis);
-		return this.saved >= 1 || singlesLeft(nowMillis);
+		accrue(limitPerSecond, nowMillis);
+		return this.savedRequests >= 1 || hasSingles(nowMillis);
 	}
 
-	private boolean singlesLeft(long nowMillis) {
-		return this.singles > 0 && nowMillis < this.singlesUntilMillis;
+	private boolean hasSingles(long nowMillis) {
+		return this.singles > 0 && nowMillis < this.singlesExpiryMillis;
 	}
 
 	/**
-	 * Takes note of a request that is sent.
+	 * Records a request that is sent.
 	 * @param limitPerSecond the server's limit as it is known now
 	 * @param nowMillis the time, in milliseconds
 	 */
 	public void sent(double limitPerSecond, long nowMillis) {
-		save(limitPerSecond, nowMillis);
-		if (this.saved < 1 && singlesLeft(nowMillis)) {
+		accrue(limitPerSecond, nowMillis);
+		if (this.savedRequests < 1 && hasSingles(nowMillis)) {
 			this.singles--;
 			return;
 		}
-		this.saved = Math.max(0, this.saved - 1);
+		this.savedRequests = Math.max(0, this.savedRequests - 1);
 	}
 
-	// A limit that has fallen since the grant takes its share off each part at once.
-	private void save(double limitPerSecond, long nowMillis) {
-		long spanMillis = nowMillis - this.savedMillis;
-		this.savedMillis = nowMillis;
-		if (nowMillis >= this.untilMillis) {
-			this.saved = 0;
+	// A limit that was lowered after the grant scales the granted rate down at once.
+	private void accrue(double limitPerSecond, long nowMillis) {
+		long elapsedMillis = nowMillis - this.savedAtMillis;
+		this.savedAtMillis = nowMillis;
+		if (nowMillis >= this.expiryMillis) {
+			this.savedRequests = 0;
 			return;
 		}
-		double part = Math.min(1, LimitLedger.usableRate(limitPerSecond) / this.grant.limitPerSecond());
-		this.saved = Math.min(this.grant.burst(),
-				this.saved + part * this.grant.perSecond() * spanMillis / MILLIS_PER_SECOND);
+		double scale = Math.min(1, LimitLedger.usableRate(limitPerSecond) / this.grant.limitPerSecond());
+		this.savedRequests = Math.min(this.grant.burst(),
+				this.savedRequests + scale * this.grant.perSecond() * elapsedMillis / MILLIS_PER_SECOND);
 	}
 
 	/**
 	 * Returns the rate that is granted.
 	 * @param nowMillis the time, in milliseconds
-	 * @return requests per second, 0 if no grant stands
+	 * @return requests per second; 0 if no grant is valid
 	 */
 	public double perSecond(long nowMillis) {
-		return (nowMillis < this.untilMillis) ? this.grant.perSecond() : 0;
+		return (nowMillis < this.expiryMillis) ? this.grant.perSecond() : 0;
 	}
 
 	/**
-	 * Returns how many requests may be sent in a second, as it looks: the part that is
-	 * granted and the single requests of late.
+	 * Returns the rate at which this process can expect to send requests: the granted
+	 * share and the recent rate of single requests.
 	 * @param nowMillis the time, in milliseconds
 	 * @return requests per second
 	 */
--- a/decide/src/main/java/org/snowwind/decide/limit/LimitLedger.java
+++ b/decide/src/main/java/org/snowwind/decide/limit/LimitLedger.java
@@ -4,193 +4,200 @@
 import java.util.Map;
 
 /**
- * The parts of one server's rate, as the one process knows them that sees to their sum.
+ * Grants processes their shares of one server's rate. It runs in the coordinator of that
+ * rate, the one process that keeps the sum of the shares within it.
  *
  * <p>
- * Each process alone cannot keep a bound on a sum: with seven of them a first request
- * each is seven. So a part stands for a short time, and no two together are more than the
- * rate. Whoever begins to see to a sum gives nothing new until the parts that another one
- * gave have lapsed; what processes say they hold it leaves them.
+ * Processes that act independently cannot bound a sum: seven processes that each send a
+ * first request send seven. Therefore each share is a short lease, and the leases that
+ * are valid at the same time do not add up to more than the rate. A new coordinator
+ * grants nothing new until the leases of its predecessor have expired; processes keep the
+ * shares that they report as held.
  */
 public final class LimitLedger {
 
 	/**
-	 * A server is asked so often at least, in requests per second, however low its limit
-	 * is: only an answer tells that the limit has ended.
+	 * The lowest rate at which a server is sent requests, in requests per second, however
+	 * low its limit is: only a response can show that the limit has ended.
 	 */
-	public static final double LEAST_PER_SECOND = 0.2;
+	public static final double MIN_PER_SECOND = 0.2;
 
-	/** Parts smaller than this part of the rate are not worth a holder. */
-	private static final double LEAST_PART = 0.01;
+	/** Shares below this fraction of the rate are too small to be worth granting. */
+	private static final double MIN_SHARE = 0.01;
 
-	/** The most requests that one holder may save up. */
-	private static final double MOST_BURST = 2;
+	/** The most unused requests that one holder may save. */
+	private static final double MAX_BURST = 2;
 
-	/** How often the rate is divided anew while a part stands. */
+	/** How often the rate is divided again during one lease. */
 	private static final int DIVISIONS_PER_LEASE = 16;
 
 	private static final double MILLIS_PER_SECOND = 1000;
 
-	private final Map<String, Share> shares = new HashMap<>();
+	private final Map<String, Holder> holders = new HashMap<>();
 
-	private long nothingNewUntilMillis = Long.MIN_VALUE;
+	private long noNewGrantsUntilMillis = Long.MIN_VALUE;
 
-	private long lastAskedMillis = Long.MIN_VALUE;
+	private long lastRequestMillis = Long.MIN_VALUE;
 
-	private Map<String, Double> divided = Map.of();
+	private Map<String, Double> division = Map.of();
 
-	private long dividedMillis;
+	private long divisionMillis;
 
-	private double dividedRate = -1;
+	private double divisionRate = -1;
 
-	private double spare;
+	private double savedSingles;
 
-	private long spareMillis;
+	private long savedSinglesMillis;
 
 	/**
-	 * Returns the rate that is used of a limit.
+	 * Returns the rate that may be used under a limit.
 	 * @param limitPerSecond the limit, in requests per second
 	 * @return the rate, above 0
 	 */
 	public static double usableRate(double limitPerSecond) {
-		return Math.max(LEAST_PER_SECOND, limitPerSecond);
+		return Math.max(MIN_PER_SECOND, limitPerSecond);
 	}
 
 	/**
-	 * Gives a process its part, in place of the one that it holds.
-	 * @param process its name
-	 * @param wish what it wants
-	 * @param mine whether this process takes itself for the one that sees to the sum
-	 * @param leaseMillis for how long a part stands, in milliseconds
+	 * Grants a process a share, which replaces the one that it holds.
+	 * @param process the name of the process
+	 * @param demand the demand of the process
+	 * @param coordinator whether this process considers itself the coordinator
+	 * @param leaseMillis how long the share is valid, in milliseconds
 	 * @param nowMillis the time, in milliseconds
-	 * @return the part
+	 * @return the grant
 	 */
-	public RateGrant grant(String process, RateWish wish, boolean mine, long leaseMillis, long nowMillis) {
-		waitForOthers(mine, leaseMillis, nowMillis);
-		Share share = this.shares.computeIfAbsent(process, (name) -> new Share());
-		share.asked(wish, leaseMillis, nowMillis);
+	public RateGrant grant(String process, RateWish demand, boolean coordinator, long leaseMillis, long nowMillis) {
+		waitForEarlierLeases(coordinator, leaseMillis, nowMillis);
+		Holder holder = this.holders.computeIfAbsent(process, (name) -> new Holder());
+		holder.requested(demand, leaseMillis, nowMillis);
 		double rate = rate(leaseMillis, nowMillis);
-		double free = Math.max(0, rate - outstandingBeside(process, nowMillis));
-		double target = Math.min(free, targetOf(process, rate, leaseMillis, nowMillis));
-		boolean nothingNew = nowMillis < this.nothingNewUntilMillis;
-		double part = nothingNew ? Math.min(free, wish.heldPerSecond()) : target;
-		share.give((part < LEAST_PART * rate) ? 0 : part, nowMillis + leaseMillis);
-		int singles = nothingNew ? 0 : singles(wish, rate, nowMillis);
-		return new RateGrant(rate, share.perSecond, burst(share.perSecond, rate), singles, leaseMillis);
+		double free = Math.max(0, rate - outstandingExcept(process, nowMillis));
+		double target = Math.min(free, targetShare(process, rate, leaseMillis, nowMillis));
+		boolean noNewGrants = nowMillis < this.noNewGrantsUntilMillis;
+		double share = noNewGrants ? Math.min(free, demand.heldPerSecond()) : target;
+		holder.setLease((share < MIN_SHARE * rate) ? 0 : share, nowMillis + leaseMillis);
+		int singles = noNewGrants ? 0 : singles(demand, rate, nowMillis);
+		return new RateGrant(rate, holder.perSecond, burst(holder.perSecond, rate), singles, leaseMillis);
 	}
 
-	private void waitForOthers(boolean mine, long leaseMillis, long nowMillis) {
-		boolean begins = this.lastAskedMillis == Long.MIN_VALUE || nowMillis - this.lastAskedMillis > leaseMillis;
-		this.lastAskedMillis = nowMillis;
-		if (begins || !mine) {
-			this.nothingNewUntilMillis = nowMillis + 2 * leaseMillis;
+	private void waitForEarlierLeases(boolean coordinator, long leaseMillis, long nowMillis) {
+		boolean newCoordinator = this.lastRequestMillis == Long.MIN_VALUE
+				|| nowMillis - this.lastRequestMillis > leaseMillis;
+		this.lastRequestMillis = nowMillis;
+		if (newCoordinator || !coordinator) {
+			this.noNewGrantsUntilMillis = nowMillis + 2 * leaseMillis;
 		}
 	}
 
-	// Of what several know of a limit the lowest counts.
+	// Where processes know different limits, the lowest one applies.
 	private double rate(long leaseMillis, long nowMillis) {
 		double lowest = Double.MAX_VALUE;
-		for (Share share : this.shares.values()) {
-			if (share.asksStill(leaseMillis, nowMillis)) {
-				lowest = Math.min(lowest, share.wish.limitPerSecond());
+		for (Holder holder : this.holders.values()) {
+			if (holder.isRequesting(leaseMillis, nowMillis)) {
+				lowest = Math.min(lowest, holder.demand.limitPerSecond());
 			}
 		}
 		return usableRate(lowest);
 	}
 
-	// To divide anew at each call would cost a sort of all processes each time.
-	private double targetOf(String process, double rate, long leaseMillis, long nowMillis) {
-		if (nowMillis - this.dividedMillis >= leaseMillis / DIVISIONS_PER_LEASE || rate != this.dividedRate) {
-			this.dividedMillis = nowMillis;
-			this.dividedRate = rate;
-			this.divided = RateShares.of(rate, wishes(leaseMillis, nowMillis), this.divided);
+	// Dividing the rate again on each call would sort all processes each time.
+	private double targetShare(String process, double rate, long leaseMillis, long nowMillis) {
+		if (nowMillis - this.divisionMillis >= leaseMillis / DIVISIONS_PER_LEASE || rate != this.divisionRate) {
+			this.divisionMillis = nowMillis;
+			this.divisionRate = rate;
+			this.division = RateShares.of(rate, activeDemands(leaseMillis, nowMillis), this.division);
 		}
-		return this.divided.getOrDefault(process, 0.0);
+		return this.division.getOrDefault(process, 0.0);
 	}
 
-	private Map<String, RateWish> wishes(long leaseMillis, long nowMillis) {
-		Map<String, RateWish> wishes = new HashMap<>();
-		this.shares.forEach((process, share) -> {
-			if (share.asksStill(leaseMillis, nowMillis)) {
-				wishes.put(process, share.wish);
+	private Map<String, RateWish> activeDemands(long leaseMillis, long nowMillis) {
+		Map<String, RateWish> activeDemands = new HashMap<>();
+		this.holders.forEach((process, holder) -> {
+			if (holder.isRequesting(leaseMillis, nowMillis)) {
+				activeDemands.put(process, holder.demand);
 			}
 		});
-		return wishes;
+		return activeDemands;
 	}
 
-	private double outstandingBeside(String process, long nowMillis) {
+	private double outstandingExcept(String process, long nowMillis) {
 		double sum = 0;
-		for (Map.Entry<String, Share> share : this.shares.entrySet()) {
-			sum += share.getKey().equals(process) ? 0 : share.getValue().outstanding(nowMillis);
+		for (Map.Entry<String, Holder> holder : this.holders.entrySet()) {
+			sum += holder.getKey().equals(process) ? 0 : holder.getValue().outstanding(nowMillis);
 		}
 		return sum;
 	}
 
-	// What nobody holds is for processes that have too few requests to hold a part.
-	private int singles(RateWish wish, double rate, long nowMillis) {
-		double unheld = Math.max(0, rate - outstandingBeside("", nowMillis));
-		double most = Math.max(1, Math.min(MOST_BURST, rate));
-		this.spare = Math.min(most, this.spare + unheld * (nowMillis - this.spareMillis) / MILLIS_PER_SECOND);
-		this.spareMillis = nowMillis;
-		int singles = (int) Math.min(wish.waiting(), this.spare);
-		this.spare -= singles;
+	// The unallocated rate serves processes that have too few requests to hold a share.
+	private int singles(RateWish demand, double rate, long nowMillis) {
+		double unallocated = Math.max(0, rate - outstandingExcept("", nowMillis));
+		double maxSaved = Math.max(1, Math.min(MAX_BURST, rate));
+		this.savedSingles = Math.min(maxSaved,
+				this.savedSingles + unallocated * (nowMillis - this.savedSinglesMillis) / MILLIS_PER_SECOND);
+		this.savedSinglesMillis = nowMillis;
+		int singles = (int) Math.min(demand.waiting(), this.savedSingles);
+		this.savedSingles -= singles;
 		return singles;
 	}
 
-	private static double burst(double part, double rate) {
-		return Math.min(MOST_BURST, Math.max(1, part + part / rate));
+	private static double burst(double share, double rate) {
+		return Math.min(MAX_BURST, Math.max(1, share + share / rate));
 	}
 
 	/**
-	 * Forgets processes that ask no more.
+	 * Removes processes whose leases have expired without renewal.
 	 * @param nowMillis the time, in milliseconds
-	 * @return whether nobody is left
+	 * @return whether no process is left
 	 */
 	public boolean forget(long nowMillis) {
-		this.shares.values()
-			.removeIf((share) -> nowMillis >= share.untilMillis && nowMillis >= share.beforeUntilMillis);
-		return this.shares.isEmpty();
+		this.holders.values()
+			.removeIf((holder) -> nowMillis >= holder.expiryMillis && nowMillis >= holder.previousExpiryMillis);
+		return this.holders.isEmpty();
 	}
 
 	/**
-	 * What one process has.
+	 * The demand of one process and the share that it holds.
 	 */
-	private static final class Share {
+	private static final class Holder {
 
-		private RateWish wish;
+		private RateWish demand;
 
-		private long askedMillis;
+		private long requestedMillis;
 
 		private double perSecond;
 
-		private long untilMillis = Long.MIN_VALUE;
+		private long expiryMillis = Long.MIN_VALUE;
 
-		/** What it held when it asked last, in case it never hears of what it got. */
-		private double beforePerSecond;
+		/**
+		 * The share that it held at its last request. It stays reserved until its lease
+		 * expires, since the reply with the new share may be lost.
+		 */
+		private double previousPerSecond;
 
-		private long beforeUntilMillis = Long.MIN_VALUE;
+		private long previousExpiryMillis = Long.MIN_VALUE;
 
-		private void asked(RateWish next, long leaseMillis, long nowMillis) {
-			boolean givenHere = this.untilMillis != Long.MIN_VALUE;
-			this.wish = next;
-			this.askedMillis = nowMillis;
-			this.beforePerSecond = next.heldPerSecond();
-			this.beforeUntilMillis = givenHere ? this.untilMillis : nowMillis + leaseMillis;
+		private void requested(RateWish next, long leaseMillis, long nowMillis) {
+			boolean grantedHere = this.expiryMillis != Long.MIN_VALUE;
+			this.demand = next;
+			this.requestedMillis = nowMillis;
+			this.previousPerSecond = next.heldPerSecond();
+			this.previousExpiryMillis = grantedHere ? this.expiryMillis : nowMillis + leaseMillis;
 		}
 
-		private void give(double part, long until) {
-			this.perSecond = part;
-			this.untilMillis = until;
+		private void setLease(double share, long newExpiryMillis) {
+			this.perSecond = share;
+			this.expiryMillis = newExpiryMillis;
 		}
 
 		private double outstanding(long nowMillis) {
-			double given = (nowMillis < this.untilMillis) ? this.perSecond : 0;
-			double before = (nowMillis < this.beforeUntilMillis) ? this.beforePerSecond : 0;
-			return Math.max(given, before);
+			double granted = (nowMillis < this.expiryMillis) ? this.perSecond : 0;
+			double previous = (nowMillis < this.previousExpiryMillis) ? this.previousPerSecond : 0;
+			return Math.max(granted, previous);
 		}
 
-		private boolean asksStill(long leaseMillis, long nowMillis) {
-			return this.wish != null && nowMillis - this.askedMillis < leaseMillis;
+		private boolean isRequesting(long leaseMillis, long nowMillis) {
+			return this.demand != null && nowMillis - this.requestedMillis < leaseMillis;
 		}
 
 	}
--- a/decide/src/main/java/org/snowwind/decide/limit/LimitWord.java
+++ b/decide/src/main/java/org/snowwind/decide/limit/LimitWord.java
@@ -1,12 +1,14 @@
 package org.snowwind.decide.limit;
 
 /**
- * The newest word of a server on its limit, as one process tells it to another.
+ * The newest limit that a server is known to have announced, as one process reports it to
+ * another.
  *
- * @param perSecond requests per second; {@link #ENDED} if it names none any more
- * @param atMillis up to when the word is known to be newer than others, in milliseconds:
- * when an answer that names the limit came, or when the request was sent whose answer
- * names none
+ * @param perSecond requests per second; {@link #ENDED} if the server no longer announces
+ * one
+ * @param atMillis the time as of which the report is known to hold, in milliseconds: when
+ * a response that announces the limit arrived or, for a limit that has ended, when the
+ * request was sent whose response announces none
  */
 public record LimitWord(double perSecond, long atMillis) {
 
@@ -14,8 +16,8 @@
 	public static final double ENDED = -1;
 
 	/**
-	 * Tells whether the limit has ended.
-	 * @return true if the server names none any more
+	 * Returns whether the limit has ended.
+	 * @return true if the server no longer announces one
 	 */
 	public boolean ended() {
 		return this.perSecond < 0;
--- a/decide/src/main/java/org/snowwind/decide/limit/NamedLimit.java
+++ b/decide/src/main/java/org/snowwind/decide/limit/NamedLimit.java
@@ -3,38 +3,39 @@
 import java.util.regex.Pattern;
 
 /**
- * What the head of one answer says of the rate that its server takes from all processes
+ * The rate limit that the head of one response announces. It applies to all processes
  * together.
  */
 public sealed interface NamedLimit {
 
-	/** The answer names no rate. */
+	/** The response announces no limit. */
 	NamedLimit NONE = new None();
 
-	/** A plain decimal number without a sign, which may have an exponent. */
+	/** A decimal number without a sign, optionally with an exponent. */
 	Pattern NUMBER = Pattern.compile("(\\d+(\\.\\d*)?|\\.\\d+)([eE][+-]?\\d+)?");
 
 	/**
-	 * Reads the value of a header. Of several values the lowest counts, since the server
-	 * takes that much in any case. What is no number, or none of use, says nothing.
-	 * @param value the value, several joined by commas; {@code null} for no header
-	 * @return what it says
+	 * Parses the value of a header. The lowest of several numbers applies, since the
+	 * server accepts that rate in any case. Text that is not a usable number is ignored.
+	 * @param value the value, several joined by commas; {@code null} if there is no
+	 * header
+	 * @return the limit
 	 */
 	static NamedLimit read(String value) {
 		if (value == null) {
 			return NONE;
 		}
 		double lowest = Double.POSITIVE_INFINITY;
-		for (String part : value.split(",", -1)) {
-			if (NUMBER.matcher(part.strip()).matches()) {
-				lowest = Math.min(lowest, Double.parseDouble(part.strip()));
+		for (String element : value.split(",", -1)) {
+			if (NUMBER.matcher(element.strip()).matches()) {
+				lowest = Math.min(lowest, Double.parseDouble(element.strip()));
 			}
 		}
 		return Double.isInfinite(lowest) ? new Unreadable(value) : new Rate(lowest);
 	}
 
 	/**
-	 * The answer names a rate.
+	 * The response announces a limit.
 	 *
 	 * @param perSecond requests per second, 0 or more
 	 */
@@ -43,16 +44,16 @@
 	}
 
 	/**
-	 * The answer names none.
+	 * The response announces no limit.
 	 */
 	record None() implements NamedLimit {
 
 	}
 
 	/**
-	 * The answer names something that is no rate.
+	 * The response has a header for the limit, but without a usable number.
 	 *
-	 * @param text what it names
+	 * @param text the value of the header
 	 */
 	record Unreadable(String text) implements NamedLimit {
 
--- a/decide/src/main/java/org/snowwind/decide/limit/RateShares.java
+++ b/decide/src/main/java/org/snowwind/decide/limit/RateShares.java
@@ -9,116 +9,119 @@
  * Divides a rate among the processes that can use it.
  *
  * <p>
- * A process that has a part may save up one request, however small its part is. So that
- * these do not come together beyond what the server bears, a rate has few holders: those
- * that want most, and no more than it takes to use it up. A part stays as it is while its
- * holder uses it: what is saved up, and what is under way, is lost where parts change.
+ * A process that holds a share may save one unused request, however small the share is.
+ * To keep the sum of these within what the server tolerates, a rate has few holders: the
+ * processes with the highest demand, and no more than are needed to use up the rate. A
+ * share stays unchanged while its holder uses it: a change loses the requests that are
+ * saved and the shares that are in transit.
  */
 final class RateShares {
 
 	/**
-	 * Where the rate is scarce a holder wants so many times what it gets, so that a lull
-	 * in its requests costs nothing.
+	 * If the total demand exceeds the rate, a holder gets its demand divided by this
+	 * factor, so that a lull in its requests leaves nothing unused.
 	 */
-	private static final double SCARCE_COVER = 2;
+	private static final double SCARCE_RATE_DIVISOR = 2;
 
-	/** Where it is not, a holder gets so many times what it wants. */
-	private static final double AMPLE_COVER = 1.5;
+	/** If it does not, a holder gets its demand times this factor. */
+	private static final double AMPLE_RATE_FACTOR = 1.5;
 
-	/** A holder keeps its part while it wants so much of it. */
-	private static final double KEEPS = 0.8;
+	/** A holder keeps its share while its demand is at least this fraction of it. */
+	private static final double MIN_USE_TO_KEEP = 0.8;
 
-	/** So much of the rate may be in nobody's part. */
-	private static final double UNHELD = 0.05;
+	/** The fraction of the rate that may stay unallocated. */
+	private static final double MAX_UNALLOCATED = 0.05;
 
 	/**
-	 * A process with fewer requests a second leaves a part unused for most of the time
-	 * that it stands; it asks for single requests.
+	 * A process with fewer requests per second would leave a share unused for most of its
+	 * lease; it gets single requests instead.
 	 */
-	private static final double LEAST_WANTED_PER_SECOND = 1;
+	private static final double MIN_WANTED_PER_SECOND = 1;
 
 	private final double perSecond;
 
-	private final Map<String, RateWish> wishes;
+	private final Map<String, RateWish> demands;
 
-	private final double partOfWanted;
+	private final double demandFactor;
 
 	private final Map<String, Double> shares = new TreeMap<>();
 
-	private double left;
+	private double unallocated;
 
-	private RateShares(double perSecond, Map<String, RateWish> wishes) {
+	private RateShares(double perSecond, Map<String, RateWish> demands) {
 		this.perSecond = perSecond;
-		this.wishes = wishes;
-		double wanted = wishes.values().stream().mapToDouble(RateWish::wantedPerSecond).sum();
-		this.partOfWanted = (wanted > perSecond) ? 1 / SCARCE_COVER : AMPLE_COVER;
-		this.left = perSecond;
+		this.demands = demands;
+		double wanted = demands.values().stream().mapToDouble(RateWish::wantedPerSecond).sum();
+		this.demandFactor = (wanted > perSecond) ? 1 / SCARCE_RATE_DIVISOR : AMPLE_RATE_FACTOR;
+		this.unallocated = perSecond;
 	}
 
 	/**
 	 * Divides a rate.
 	 * @param perSecond the rate, above 0
-	 * @param wishes what each process wants, by its name
-	 * @param before the parts as they are, by process, in requests per second
-	 * @return the parts as they should be; who gets none is left out
+	 * @param demands the demand of each process, by its name
+	 * @param previous the current shares, by process, in requests per second
+	 * @return the new shares; a process without a share has no entry
 	 */
-	static Map<String, Double> of(double perSecond, Map<String, RateWish> wishes, Map<String, Double> before) {
-		RateShares division = new RateShares(perSecond, wishes);
-		division.keep(before);
-		if (division.left > UNHELD * perSecond) {
-			division.add();
+	static Map<String, Double> of(double perSecond, Map<String, RateWish> demands, Map<String, Double> previous) {
+		RateShares division = new RateShares(perSecond, demands);
+		division.keepHolders(previous);
+		if (division.unallocated > MAX_UNALLOCATED * perSecond) {
+			division.addHolders();
 		}
-		if (division.left > UNHELD * perSecond) {
-			division.raise();
+		if (division.unallocated > MAX_UNALLOCATED * perSecond) {
+			division.raiseShares();
 		}
 		return division.shares;
 	}
 
-	private void keep(Map<String, Double> before) {
-		double sum = before.values().stream().mapToDouble(Double::doubleValue).sum();
-		double fall = Math.min(1, this.perSecond / Math.max(sum, this.perSecond));
-		before.forEach((process, share) -> {
-			RateWish wish = this.wishes.get(process);
-			double kept = fall * share;
-			if (wish != null && wish.wantedPerSecond() >= KEEPS * kept && this.shares.size() < mostHolders()) {
-				give(process, kept);
+	private void keepHolders(Map<String, Double> previous) {
+		double sum = previous.values().stream().mapToDouble(Double::doubleValue).sum();
+		double reduction = Math.min(1, this.perSecond / Math.max(sum, this.perSecond));
+		previous.forEach((process, share) -> {
+			RateWish demand = this.demands.get(process);
+			double kept = reduction * share;
+			if (demand != null && demand.wantedPerSecond() >= MIN_USE_TO_KEEP * kept
+					&& this.shares.size() < maxHolders()) {
+				assign(process, kept);
 			}
 		});
 	}
 
-	private void add() {
-		List<String> others = this.wishes.keySet()
+	private void addHolders() {
+		List<String> candidates = this.demands.keySet()
 			.stream()
 			.filter((process) -> !this.shares.containsKey(process)
-					&& this.wishes.get(process).wantedPerSecond() >= LEAST_WANTED_PER_SECOND)
-			.sorted(Comparator.comparingDouble((String process) -> -this.wishes.get(process).wantedPerSecond())
+					&& this.demands.get(process).wantedPerSecond() >= MIN_WANTED_PER_SECOND)
+			.sorted(Comparator.comparingDouble((String process) -> -this.demands.get(process).wantedPerSecond())
 				.thenComparing(Comparator.naturalOrder()))
 			.toList();
-		for (String process : others) {
-			if (this.shares.size() < mostHolders() && this.left > UNHELD * this.perSecond) {
-				give(process, Math.min(this.left, this.partOfWanted * this.wishes.get(process).wantedPerSecond()));
+		for (String process : candidates) {
+			if (this.shares.size() < maxHolders() && this.unallocated > MAX_UNALLOCATED * this.perSecond) {
+				assign(process,
+						Math.min(this.unallocated, this.demandFactor * this.demands.get(process).wantedPerSecond()));
 			}
 		}
 	}
 
-	private void raise() {
+	private void raiseShares() {
 		for (String process : List.copyOf(this.shares.keySet())) {
-			double before = this.shares.get(process);
-			double most = this.partOfWanted * this.wishes.get(process).wantedPerSecond();
-			if (most > before) {
-				this.left += before;
-				give(process, Math.min(this.left, most));
+			double previous = this.shares.get(process);
+			double maxShare = this.demandFactor * this.demands.get(process).wantedPerSecond();
+			if (maxShare > previous) {
+				this.unallocated += previous;
+				assign(process, Math.min(this.unallocated, maxShare));
 			}
 		}
 	}
 
-	private void give(String process, double share) {
+	private void assign(String process, double share) {
 		this.shares.put(process, share);
-		this.left -= share;
+		this.unallocated -= share;
 	}
 
-	// What all save up together is one second of the rate and one request.
-	private int mostHolders() {
+	// Together the holders may save one second of the rate and one request.
+	private int maxHolders() {
 		return (int) Math.min(Integer.MAX_VALUE, this.perSecond + 1);
 	}
 
--- a/decide/src/main/java/org/snowwind/decide/limit/ServerLimit.java
+++ b/decide/src/main/java/org/snowwind/decide/limit/ServerLimit.java
@@ -1,93 +1,95 @@
 package org.snowwind.decide.limit;
 
 /**
- * What one process knows of the limit of one life of a server.
+ * The rate limit of one incarnation of a server, as far as one process knows it.
  *
  * <p>
- * Answers overtake each other. One that names no limit ends it only if its request was
- * sent after the limit was last heard; one that names a limit which has ended, or a
- * higher one, counts only if its request was sent after that was heard. A lower one
- * counts at once.
+ * Responses can overtake each other. A response without a limit ends the known limit only
+ * if its request was sent after that limit was last announced. A response that announces
+ * a limit again after it has ended, or announces a higher limit, applies only if its
+ * request was sent after the latest update. A lower limit applies at once.
  */
 public final class ServerLimit {
 
 	/**
-	 * Words of peers are older than they look by the time that they were under way, in
-	 * milliseconds; calls between peers end sooner.
+	 * The longest time for which a peer's report can be in transit, in milliseconds: a
+	 * report is older than it appears by up to this much. Calls between peers time out
+	 * sooner.
 	 */
-	private static final long UNDER_WAY_MILLIS = 1000;
+	private static final long MAX_TRANSIT_MILLIS = 1000;
 
 	private boolean known;
 
 	private double perSecond = LimitWord.ENDED;
 
-	/** When the newest word came. */
-	private long heardMillis;
+	/** The time of the latest update. */
+	private long updatedMillis;
 
-	/** When the request was sent whose answer ended the limit. */
+	/** When the request was sent whose response ended the limit. */
 	private long endSentMillis;
 
 	private long changedMillis;
 
 	/**
-	 * Takes note of an answer that names a limit.
+	 * Applies a response that announces a limit.
 	 * @param rate the limit, in requests per second
 	 * @param sentMillis when its request was sent, in milliseconds
 	 * @param nowMillis the time, in milliseconds
-	 * @return whether that changes what is known
+	 * @return whether this changes the known limit
 	 */
 	public boolean named(double rate, long sentMillis, long nowMillis) {
-		boolean surelyNewer = sentMillis > this.heardMillis;
+		boolean surelyNewer = sentMillis > this.updatedMillis;
 		if (this.known && !surelyNewer && (!stands() || rate > this.perSecond)) {
 			return false;
 		}
-		return use(rate, nowMillis, nowMillis);
+		return update(rate, nowMillis, nowMillis);
 	}
 
 	/**
-	 * Takes note of an answer of the server that names no limit.
+	 * Applies a response of the server that announces no limit.
 	 * @param sentMillis when its request was sent, in milliseconds
 	 * @param nowMillis the time, in milliseconds
-	 * @return whether that ends a limit
+	 * @return whether this ends a limit
 	 */
 	public boolean unnamed(long sentMillis, long nowMillis) {
-		if (!stands() || sentMillis <= this.heardMillis) {
+		if (!stands() || sentMillis <= this.updatedMillis) {
 			return false;
 		}
 		this.endSentMillis = sentMillis;
-		return use(LimitWord.ENDED, nowMillis, nowMillis);
+		return update(LimitWord.ENDED, nowMillis, nowMillis);
 	}
 
 	/**
-	 * Takes note of what a peer has heard.
-	 * @param word the word, by the own clock
+	 * Applies a report from a peer.
+	 * @param report the report, with its time converted to the clock of this process
 	 * @param nowMillis the time, in milliseconds
-	 * @return whether that changes what is known
+	 * @return whether this changes the known limit
 	 */
-	public boolean heard(LimitWord word, long nowMillis) {
-		if (word.ended()) {
-			boolean newer = stands() && word.atMillis() - UNDER_WAY_MILLIS > this.heardMillis;
-			this.endSentMillis = newer ? word.atMillis() : this.endSentMillis;
-			return newer && use(LimitWord.ENDED, word.atMillis(), nowMillis);
+	public boolean heard(LimitWord report, long nowMillis) {
+		if (report.ended()) {
+			boolean newer = stands() && report.atMillis() - MAX_TRANSIT_MILLIS > this.updatedMillis;
+			this.endSentMillis = newer ? report.atMillis() : this.endSentMillis;
+			return newer && update(LimitWord.ENDED, report.atMillis(), nowMillis);
 		}
-		boolean newer = !this.known || word.atMillis() - UNDER_WAY_MILLIS > this.heardMillis;
-		boolean lower = stands() && word.perSecond() < this.perSecond
-				&& word.atMillis() + UNDER_WAY_MILLIS > this.heardMillis;
-		return (newer || lower) && use(word.perSecond(), Math.max(word.atMillis(), this.heardMillis), nowMillis);
+		boolean newer = !this.known || report.atMillis() - MAX_TRANSIT_MILLIS > this.updatedMillis;
+		boolean lower = stands() && report.perSecond() < this.perSecond
+				&& report.atMillis() + MAX_TRANSIT_MILLIS > this.updatedMillis;
+		return (newer || lower)
+				&& update(report.perSecond(), Math.max(report.atMillis(), this.updatedMillis), nowMillis);
 	}
 
-	private boolean use(double rate, long atMillis, long nowMillis) {
+	private boolean update(double rate, long atMillis, long nowMillis) {
 		boolean changed = this.perSecond != rate;
 		this.known = true;
 		this.perSecond = rate;
-		this.heardMillis = atMillis;
+		this.updatedMillis = atMillis;
 		this.changedMillis = changed ? nowMillis : this.changedMillis;
 		return changed;
 	}
 
 	/**
-	 * Tells whether a limit stands.
-	 * @return true if the server is known to name one
+	 * Returns whether a limit is active.
+	 * @return true if the server is known to announce one
 	 */
 	public boolean stands() {
 		return this.known && this.perSecond >= 0;
@@ -95,15 +97,15 @@
 
 	/**
 	 * Returns the limit.
-	 * @return requests per second; {@link LimitWord#ENDED} if none stands
+	 * @return requests per second; {@link LimitWord#ENDED} if none is active
 	 */
 	public double perSecond() {
 		return this.perSecond;
 	}
 
 	/**
-	 * Tells whether the server ever named a limit.
-	 * @return true if there is a word to pass on
+	 * Returns whether the server ever announced a limit.
+	 * @return true if there is a report for peers
 	 */
 	public boolean known() {
 		return this.known;
@@ -118,11 +120,11 @@
 	}
 
 	/**
-	 * Returns what peers are told.
-	 * @return the newest word
+	 * Returns the report for peers.
+	 * @return the newest known state of the limit
 	 */
 	public LimitWord word() {
-		return new LimitWord(this.perSecond, stands() ? this.heardMillis : this.endSentMillis);
+		return new LimitWord(this.perSecond, stands() ? this.updatedMillis : this.endSentMillis);
 	}
 
 }
--- a/decide/src/main/java/org/snowwind/decide/limit/package-info.java
+++ b/decide/src/main/java/org/snowwind/decide/limit/package-info.java
@@ -1,4 +1,5 @@
 /**
- * Rates that a server takes from all processes together, and who may use which part.
+ * Rate limits that a server sets for all processes together, and how processes share
+ * them.
  */
 package org.snowwind.decide.limit;
--- a/decide/src/test/java/org/snowwind/decide/admission/FairQueueTests.java
+++ b/decide/src/test/java/org/snowwind/decide/admission/FairQueueTests.java
@@ -16,12 +16,12 @@
 
 	private static final double QUANTUM = 10;
 
-	private static FairQueue<String> queue(int bound) {
-		return new FairQueue<>(QUANTUM, bound, (organisation) -> 1);
+	private static FairQueue<String> queue(int capacity) {
+		return new FairQueue<>(QUANTUM, capacity, (organisation) -> 1);
 	}
 
 	@Test
-	void aFullQueueRefusesOnlyItsOwnOrganisation() {
+	void aFullQueueRejectsOnlyWorkOfItsOwnOrganisation() {
 		FairQueue<String> queue = queue(1);
 		assertThat(queue.offer("a", "a1", 1, 100)).isTrue();
 		assertThat(queue.offer("a", "a2", 1, 100)).isFalse();
@@ -29,7 +29,7 @@
 	}
 
 	@Test
-	void expiredWorkIsTakenOut() {
+	void expiredWorkIsRemoved() {
 		FairQueue<String> queue = queue(10);
 		queue.offer("a", "old", 1, 5);
 		queue.offer("a", "new", 1, 50);
@@ -40,14 +40,14 @@
 	}
 
 	@Test
-	void workLargerThanAQuantumIsServedInTime() {
+	void workLargerThanAQuantumIsServed() {
 		FairQueue<String> queue = queue(10);
 		queue.offer("a", "large", QUANTUM * 7, 100);
 		assertThat(queue.poll()).contains("large");
 	}
 
 	@Test
-	void anOrganisationThatMayNotBeginIsPassedOver() {
+	void anOrganisationThatMayNotBeginIsSkipped() {
 		FairQueue<String> queue = queue(10);
 		queue.offer("a", "a1", 1, 100);
 		queue.offer("b", "b1", 1, 100);
@@ -85,7 +85,7 @@
 	}
 
 	@Property(seed = "20261202")
-	void weightsDivideTheService(@ForAll @IntRange(min = 1, max = 5) int weight) {
+	void organisationsAreServedInProportionToTheirWeights(@ForAll @IntRange(min = 1, max = 5) int weight) {
 		FairQueue<String> queue = new FairQueue<>(QUANTUM, 10_000, (name) -> "a".equals(name) ? weight : 1);
 		for (int i = 0; i < 6000; i++) {
 			queue.offer("a", "a", 1, 100);
--- a/decide/src/test/java/org/snowwind/decide/admission/LimitTests.java
+++ b/decide/src/test/java/org/snowwind/decide/admission/LimitTests.java
@@ -7,7 +7,7 @@
 class LimitTests {
 
 	@Test
-	void aBucketGivesItsBurstAndThenItsRate() {
+	void aBucketAllowsItsBurstAndThenItsRate() {
 		TokenBucket bucket = new TokenBucket(10, 2, 0);
 		assertThat(bucket.tryTake(0)).isTrue();
 		assertThat(bucket.tryTake(0)).isTrue();
@@ -18,7 +18,7 @@
 	}
 
 	@Test
-	void retriesAreAFractionOfFirstAttempts() {
+	void retriesAreLimitedToAFractionOfFirstAttempts() {
 		RetryBudget budget = new RetryBudget(0.5, 1);
 		assertThat(budget.allows()).isTrue();
 		budget.retried();
@@ -29,7 +29,7 @@
 	}
 
 	@Test
-	void theConcurrencyLimitGrowsWhileItIsFeltAndDelaysAreLow() {
+	void theConcurrencyLimitGrowsWhileItIsReachedAndDelaysAreLow() {
 		ConcurrencyLimit limit = new ConcurrencyLimit(4, 1, 100, 2);
 		for (int i = 0; i < 50; i++) {
 			limit.sample(10, 100);
@@ -48,7 +48,7 @@
 	}
 
 	@Test
-	void theWaitIsEstimatedFromHowLongWorkTook() {
+	void theQueueingDelayIsEstimatedFromTheDurationOfWork() {
 		WaitEstimate estimate = new WaitEstimate();
 		estimate.ended(200);
 		assertThat(estimate.waitMillis(0, 4)).isEqualTo(50);
@@ -57,7 +57,7 @@
 	}
 
 	@Test
-	void anIdleLimitStaysAsItIs() {
+	void aConcurrencyLimitThatIsNotReachedStaysUnchanged() {
 		ConcurrencyLimit limit = new ConcurrencyLimit(40, 2, 100, 2);
 		for (int i = 0; i < 50; i++) {
 			limit.sample(10, 1);
--- a/decide/src/test/java/org/snowwind/decide/admission/ShareGuardTests.java
+++ b/decide/src/test/java/org/snowwind/decide/admission/ShareGuardTests.java
@@ -32,38 +32,38 @@
 	}
 
 	@Test
-	void aloneAnOrganisationMayTakeEverything() {
+	void aSingleOrganisationMayUseAllSlots() {
 		assertThat(begin("flood", 20, 0)).isEqualTo(LIMIT);
 	}
 
 	@Test
-	void whatAnotherNeededLatelyStaysFreeForIt() {
+	void slotsThatAnotherOrganisationNeededRecentlyAreReservedForIt() {
 		end("quiet", begin("quiet", 2, 0));
 		assertThat(begin("flood", 20, 1)).isEqualTo(LIMIT - 2);
 		assertThat(begin("quiet", 2, 2)).isEqualTo(2);
 	}
 
 	@Test
-	void noMoreThanItsShareStaysFreeForAnOrganisation() {
+	void noMoreThanItsShareIsReservedForAnOrganisation() {
 		end("greedy", begin("greedy", LIMIT, 0));
 		assertThat(begin("flood", 20, 1)).isEqualTo(LIMIT / 2);
 	}
 
 	@Test
-	void whatWasNeededLongAgoIsFreeForAll() {
+	void slotsThatWereNeededLongAgoAreAvailableToAll() {
 		end("quiet", begin("quiet", 2, 0));
 		assertThat(begin("flood", 20, 10_000)).isEqualTo(LIMIT);
 	}
 
 	@Test
-	void placesAreWhatRunsOrTheShareThatMayBeCountedOn() {
+	void slotsOfAnOrganisationAreItsRunningWorkOrItsShare() {
 		begin("flood", 6, 0);
 		assertThat(this.guard.places("flood", LIMIT, 1)).isEqualTo(LIMIT);
 		assertThat(this.guard.places("newcomer", LIMIT, 1)).isEqualTo(LIMIT / 2.0);
 	}
 
 	@Test
-	void idleOrganisationsAreForgotten() {
+	void idleOrganisationsAreRemoved() {
 		end("quiet", begin("quiet", 2, 0));
 		this.guard.forgetIdle(10_000);
 		assertThat(begin("flood", 20, 10_000)).isEqualTo(LIMIT);
--- a/decide/src/test/java/org/snowwind/decide/limit/CallAllowanceTests.java
+++ b/decide/src/test/java/org/snowwind/decide/limit/CallAllowanceTests.java
@@ -12,7 +12,7 @@
 	private final CallAllowance allowance = new CallAllowance();
 
 	@Test
-	void callsOfTheLastWindowCount() {
+	void onlyCallsInTheWindowCountAgainstTheAllowance() {
 		this.allowance.made(1000);
 		this.allowance.made(1000);
 		assertThat(this.allowance.left(1, 1500)).isEqualTo(2);
@@ -23,7 +23,7 @@
 	}
 
 	@Test
-	void aServerThatTakesNothingStillTellsHowItFares() {
+	void aServerWithALimitOfZeroCanStillBeQueried() {
 		assertThat(this.allowance.left(0, 1000)).isEqualTo(3);
 	}
 
--- a/decide/src/test/java/org/snowwind/decide/limit/GrantedRateTests.java
+++ b/decide/src/test/java/org/snowwind/decide/limit/GrantedRateTests.java
@@ -28,7 +28,7 @@
 	}
 
 	@Test
-	void aGrantBeginsWithNothingSavedAndLapses() {
+	void aGrantStartsWithoutSavedRequestsAndExpires() {
 		this.rate.use(new RateGrant(10, 2, 1, 0, 3000), 1000, 10, 1000);
 		assertThat(sendAll(10, 1000, 1490)).isZero();
 		assertThat(sendAll(10, 1490, 60_000)).isEqualTo(5);
@@ -36,26 +36,26 @@
 	}
 
 	@Test
-	void aGrantStandsFromWhenItWasAskedFor() {
+	void aGrantIsValidFromWhenItWasRequested() {
 		this.rate.use(new RateGrant(10, 2, 1, 0, 1000), 0, 10, 1000);
 		assertThat(sendAll(10, 1000, 5000)).isZero();
 	}
 
 	@Test
-	void noMoreIsSavedUpThanTheBurst() {
+	void savedRequestsAreLimitedToTheBurst() {
 		this.rate.use(new RateGrant(10, 5, 1.5, 0, 20_000), 0, 10, 0);
 		assertThat(this.rate.allows(10, 10_000)).isTrue();
 		assertThat(sendAll(10, 10_000, 10_010)).isEqualTo(1);
 	}
 
 	@Test
-	void aLimitThatFallsTakesItsShareOffAtOnce() {
+	void aLoweredLimitScalesTheGrantedRateDownAtOnce() {
 		this.rate.use(new RateGrant(10, 10, 1, 0, 20_000), 0, 10, 0);
 		assertThat(sendAll(1, 0, 10_010)).isEqualTo(10);
 	}
 
 	@Test
-	void singleRequestsLapse() {
+	void singleRequestsExpire() {
 		this.rate.use(new RateGrant(10, 0, 1, 2, 5000), 0, 10, 0);
 		this.rate.sent(10, 500);
 		assertThat(this.rate.allows(10, 900)).isTrue();
@@ -63,7 +63,7 @@
 	}
 
 	@Test
-	void whatIsSavedIsLostWithThePart() {
+	void savedRequestsAreLostWithTheShare() {
 		this.rate.use(new RateGrant(10, 2, 2, 0, 5000), 0, 10, 0);
 		this.rate.use(new RateGrant(10, 0, 1, 0, 5000), 1000, 10, 1000);
 		assertThat(this.rate.allows(10, 1000)).isFalse();
--- a/decide/src/test/java/org/snowwind/decide/limit/LimitLedgerTests.java
+++ b/decide/src/test/java/org/snowwind/decide/limit/LimitLedgerTests.java
@@ -12,102 +12,104 @@
 
 	private static final long LEASE_MILLIS = 1000;
 
-	/** Long enough after the first request that parts of others have lapsed. */
+	/**
+	 * Long enough after the first request for leases of an earlier coordinator to expire.
+	 */
 	private static final long SETTLED_MILLIS = 10_000;
 
 	private final LimitLedger ledger = new LimitLedger();
 
 	private long nowMillis = 5000;
 
-	private RateGrant ask(String process, double limit, double wanted, double held, int waiting) {
+	private RateGrant request(String process, double limit, double wanted, double held, int waiting) {
 		return this.ledger.grant(process, new RateWish(limit, wanted, held, waiting), true, LEASE_MILLIS,
 				this.nowMillis);
 	}
 
 	private void settle(String process) {
-		for (long past = 0; past < SETTLED_MILLIS; past += LEASE_MILLIS / 2) {
-			ask(process, 10, 0, 0, 0);
+		for (long elapsed = 0; elapsed < SETTLED_MILLIS; elapsed += LEASE_MILLIS / 2) {
+			request(process, 10, 0, 0, 0);
 			this.nowMillis += LEASE_MILLIS / 2;
 		}
 	}
 
 	@Test
-	void whoBeginsToSeeToASumGivesNothingNewUntilEarlierPartsHaveLapsed() {
-		assertThat(ask("a", 10, 50, 0, 3).perSecond()).isZero();
+	void aNewCoordinatorGrantsNothingNewUntilEarlierLeasesHaveExpired() {
+		assertThat(request("a", 10, 50, 0, 3).perSecond()).isZero();
 		this.nowMillis += LEASE_MILLIS;
-		assertThat(ask("a", 10, 50, 0, 3)).isEqualTo(new RateGrant(10, 0, 1, 0, LEASE_MILLIS));
+		assertThat(request("a", 10, 50, 0, 3)).isEqualTo(new RateGrant(10, 0, 1, 0, LEASE_MILLIS));
 		this.nowMillis += LEASE_MILLIS;
-		assertThat(ask("a", 10, 50, 0, 3).perSecond()).isEqualTo(10);
+		assertThat(request("a", 10, 50, 0, 3).perSecond()).isEqualTo(10);
 	}
 
 	@Test
-	void whoBeginsLeavesProcessesWhatTheyHold() {
-		assertThat(ask("a", 10, 50, 4, 0).perSecond()).isEqualTo(4);
-		assertThat(ask("b", 10, 50, 6, 0).perSecond()).isEqualTo(6);
+	void aNewCoordinatorLetsProcessesKeepTheSharesThatTheyHold() {
+		assertThat(request("a", 10, 50, 4, 0).perSecond()).isEqualTo(4);
+		assertThat(request("b", 10, 50, 6, 0).perSecond()).isEqualTo(6);
 	}
 
 	@Test
-	void whoDoesNotTakeItselfForTheOneGivesNothingNew() {
+	void aProcessThatIsNotTheCoordinatorGrantsNothingNew() {
 		settle("a");
 		RateGrant grant = this.ledger.grant("a", new RateWish(10, 50, 0, 2), false, LEASE_MILLIS, this.nowMillis);
 		assertThat(grant.perSecond() + grant.singles()).isZero();
 	}
 
 	@Test
-	void partsThatMayStillBeHeldAreNotGivenAgain() {
+	void sharesThatMayStillBeHeldAreNotGrantedAgain() {
 		settle("a");
-		assertThat(ask("a", 10, 50, 0, 0).perSecond()).isEqualTo(10);
+		assertThat(request("a", 10, 50, 0, 0).perSecond()).isEqualTo(10);
 		this.nowMillis += LEASE_MILLIS / 2;
-		assertThat(ask("b", 10, 50, 0, 0).perSecond()).isZero();
+		assertThat(request("b", 10, 50, 0, 0).perSecond()).isZero();
 		this.nowMillis += LEASE_MILLIS / 2;
-		assertThat(ask("b", 10, 50, 0, 0).perSecond()).isEqualTo(10);
+		assertThat(request("b", 10, 50, 0, 0).perSecond()).isEqualTo(10);
 	}
 
 	@Test
-	void aPartWhoseHolderNeverHeardThatItIsSmallerCountsInFull() {
+	void aReducedShareCountsInFullWhileItsHolderMayNotKnowOfTheReduction() {
 		settle("a");
-		ask("a", 10, 50, 0, 0);
+		request("a", 10, 50, 0, 0);
 		this.nowMillis += LEASE_MILLIS / 2;
-		assertThat(ask("a", 4, 50, 10, 0).perSecond()).isEqualTo(4);
-		assertThat(ask("b", 4, 50, 0, 0).perSecond()).isZero();
+		assertThat(request("a", 4, 50, 10, 0).perSecond()).isEqualTo(4);
+		assertThat(request("b", 4, 50, 0, 0).perSecond()).isZero();
 	}
 
 	@Test
-	void aLimitThatHardlyAllowsAnythingIsAskedFromTimeToTime() {
+	void aServerWithALimitOfZeroIsSentRequestsAtTheLowestRate() {
 		settle("a");
 		int singles = 0;
 		long fromMillis = this.nowMillis;
 		while (this.nowMillis < fromMillis + 60_000) {
-			singles += ask("a", 0, 0.5, 0, 1).singles();
+			singles += request("a", 0, 0.5, 0, 1).singles();
 			this.nowMillis += 100;
 		}
-		assertThat(singles / 60.0).isCloseTo(LimitLedger.LEAST_PER_SECOND, within(0.03));
+		assertThat(singles / 60.0).isCloseTo(LimitLedger.MIN_PER_SECOND, within(0.03));
 	}
 
 	@Test
-	void whoHasFewRequestsGetsSingleOnesOfWhatNobodyHolds() {
+	void aProcessWithLowDemandGetsSingleRequestsOfTheUnallocatedRate() {
 		settle("a");
-		assertThat(ask("a", 2, 0.3, 0, 5).singles()).isEqualTo(2);
-		assertThat(ask("b", 2, 0.3, 0, 5).singles()).isZero();
+		assertThat(request("a", 2, 0.3, 0, 5).singles()).isEqualTo(2);
+		assertThat(request("b", 2, 0.3, 0, 5).singles()).isZero();
 		this.nowMillis += 500;
-		assertThat(ask("b", 2, 0.3, 0, 5).singles()).isEqualTo(1);
+		assertThat(request("b", 2, 0.3, 0, 5).singles()).isEqualTo(1);
 	}
 
 	@Test
-	void aHolderThatWantsNoMoreMakesRoom() {
+	void aHolderWithoutDemandReleasesItsShare() {
 		settle("a");
-		assertThat(ask("a", 1, 50, 0, 0).perSecond()).isEqualTo(1);
-		ask("b", 1, 50, 0, 0);
+		assertThat(request("a", 1, 50, 0, 0).perSecond()).isEqualTo(1);
+		request("b", 1, 50, 0, 0);
 		this.nowMillis += LEASE_MILLIS / 2;
-		ask("a", 1, 0, 1, 0);
-		ask("a", 1, 0, 0, 0);
-		assertThat(ask("b", 1, 50, 0, 0).perSecond()).isEqualTo(1);
+		request("a", 1, 0, 1, 0);
+		request("a", 1, 0, 0, 0);
+		assertThat(request("b", 1, 50, 0, 0).perSecond()).isEqualTo(1);
 	}
 
 	@Test
-	void whoAsksNoMoreIsForgotten() {
+	void processesWithExpiredLeasesAreRemoved() {
 		settle("a");
-		ask("a", 10, 50, 0, 0);
+		request("a", 10, 50, 0, 0);
 		assertThat(this.ledger.forget(this.nowMillis)).isFalse();
 		assertThat(this.ledger.forget(this.nowMillis + 2 * LEASE_MILLIS)).isTrue();
 	}
--- a/decide/src/test/java/org/snowwind/decide/limit/LimitModel.java
+++ b/decide/src/test/java/org/snowwind/decide/limit/LimitModel.java
@@ -9,9 +9,10 @@
 import java.util.TreeMap;
 
 /**
- * Plays processes before one limited server in virtual time: they hear of each other
- * late, messages take their time and get lost, processes end, start, stand still and are
- * cut off. Each uses the product's ledger and granted rate.
+ * Simulates processes that share one rate-limited server in virtual time. Messages
+ * between the processes are delayed or lost, and processes are restarted, frozen and
+ * partitioned from the others. Each process uses the production {@link LimitLedger} and
+ * {@link GrantedRate}.
  */
 final class LimitModel {
 
@@ -19,54 +20,58 @@
 
 	private static final int TICK_MILLIS = 5;
 
-	/** How long a process that is silent counts as live, in periods, and at least. */
+	/** How long a process that sends no reports counts as live, in report periods. */
 	private static final int SILENCE_PERIODS = 3;
 
+	/** The shortest time for which it counts as live, in milliseconds. */
 	private static final long SILENCE_MILLIS = 1500;
 
-	/** After a disturbance a process does not count for so long, in milliseconds. */
-	private static final long EXCUSED_MILLIS = 3000;
+	/**
+	 * How long the requests of a process do not count after a fault, in milliseconds.
+	 */
+	private static final long RECOVERY_MILLIS = 3000;
 
 	private final Random random;
 
-	private final List<Member> processes = new ArrayList<>();
+	private final List<SimulatedProcess> processes = new ArrayList<>();
 
-	private final PriorityQueue<Message> due = new PriorityQueue<>(
+	private final PriorityQueue<Message> pendingMessages = new PriorityQueue<>(
 			(left, right) -> Long.compare(left.atMillis, right.atMillis));
 
-	private final long reportMillis;
+	private final long reportPeriodMillis;
 
-	private final long askMillis;
+	private final long requestPeriodMillis;
 
 	private final long leaseMillis;
 
-	/** Requests in the order in which they reach the server. */
+	/** When the requests that count reached the server, in order. */
 	private final List<Long> countedMillis = new ArrayList<>();
 
 	private final List<Long> allMillis = new ArrayList<>();
 
 	private final TreeMap<Long, Double> limits = new TreeMap<>();
 
-	private double perProcess;
+	private double arrivalsPerProcess;
 
-	private double lost;
+	private double lossRate;
 
-	private long wayMillis = 20;
+	private long maxDelayMillis = 20;
 
 	private long nowMillis = 1_000_000;
 
-	private final long beginMillis = this.nowMillis;
+	private final long startMillis = this.nowMillis;
 
 	LimitModel(long seed, int count, double arrivalsPerSecond) {
 		this.random = new Random(seed);
-		this.reportMillis = Math.max(100, 10L * count);
-		this.askMillis = 100 + 5L * count + 2;
-		this.leaseMillis = 4 * this.askMillis + 500;
-		this.perProcess = arrivalsPerSecond / count;
+		this.reportPeriodMillis = Math.max(100, 10L * count);
+		this.requestPeriodMillis = 100 + 5L * count + 2;
+		this.leaseMillis = 4 * this.requestPeriodMillis + 500;
+		this.arrivalsPerProcess = arrivalsPerSecond / count;
 		for (int i = 0; i < count; i++) {
-			this.processes.add(new Member(i, count));
+			this.processes.add(new SimulatedProcess(i, count));
 		}
-		this.processes.forEach((one) -> this.processes.forEach((other) -> one.heard(other.number, this.nowMillis)));
+		this.processes
+			.forEach((one) -> this.processes.forEach((other) -> one.receivedReport(other.number, this.nowMillis)));
 	}
 
 	LimitModel limit(double perSecond) {
@@ -74,25 +79,25 @@
 		return this;
 	}
 
-	/** Gives some processes many times more callers than others. */
-	LimitModel skewed(double power) {
+	/** Gives some processes many times the arrivals of others. */
+	LimitModel skewed(double exponent) {
 		double sum = 0;
 		for (int i = 1; i <= this.processes.size(); i++) {
-			sum += Math.pow(i, -power);
+			sum += Math.pow(i, -exponent);
 		}
-		for (Member process : this.processes) {
-			process.weight = Math.pow(1.0 + process.number, -power) * this.processes.size() / sum;
+		for (SimulatedProcess process : this.processes) {
+			process.weight = Math.pow(1.0 + process.number, -exponent) * this.processes.size() / sum;
 		}
 		return this;
 	}
 
-	LimitModel losing(double part) {
-		this.lost = part;
+	LimitModel withLossRate(double fraction) {
+		this.lossRate = fraction;
 		return this;
 	}
 
-	LimitModel farApart(long millis) {
-		this.wayMillis = millis;
+	LimitModel withMaxDelay(long millis) {
+		this.maxDelayMillis = millis;
 		return this;
 	}
 
@@ -100,42 +105,42 @@
 		return this.limits.floorEntry(this.nowMillis).getValue();
 	}
 
-	/** Lets time pass, in milliseconds. */
-	LimitModel play(long millis) {
+	/** Advances the simulation, in milliseconds. */
+	LimitModel advance(long millis) {
 		long endMillis = this.nowMillis + millis;
 		while (this.nowMillis < endMillis) {
 			this.nowMillis += TICK_MILLIS;
-			while (!this.due.isEmpty() && this.due.peek().atMillis <= this.nowMillis) {
-				Message message = this.due.poll();
-				if (message.to < 0 || this.processes.get(message.to).runs()) {
-					message.work.run();
+			while (!this.pendingMessages.isEmpty() && this.pendingMessages.peek().atMillis <= this.nowMillis) {
+				Message message = this.pendingMessages.poll();
+				if (message.to < 0 || this.processes.get(message.to).isRunning()) {
+					message.action.run();
 				}
 			}
-			this.processes.forEach(Member::tick);
+			this.processes.forEach(SimulatedProcess::tick);
 		}
 		return this;
 	}
 
-	/** Ends a process and starts another in its place. */
+	/** Stops a process and starts another in its place, which has none of its state. */
 	void restart(int number, long downMillis) {
-		Member process = this.processes.get(number);
+		SimulatedProcess process = this.processes.get(number);
 		process.downUntilMillis = this.nowMillis + downMillis;
-		process.disturbedMillis = process.downUntilMillis;
-		process.begin(this.nowMillis + downMillis);
+		process.faultEndMillis = process.downUntilMillis;
+		process.start(this.nowMillis + downMillis);
 	}
 
-	/** Lets a process stand still, which then goes on with all that it knew. */
+	/** Freezes a process, which then continues with its state. */
 	void freeze(int number, long millis) {
-		Member process = this.processes.get(number);
+		SimulatedProcess process = this.processes.get(number);
 		process.downUntilMillis = this.nowMillis + millis;
-		process.disturbedMillis = process.downUntilMillis;
+		process.faultEndMillis = process.downUntilMillis;
 	}
 
-	/** Cuts processes off from all others, not from callers and the server. */
-	void cut(int from, int until, long millis) {
+	/** Partitions processes from all others, but not from callers and the server. */
+	void partition(int from, int until, long millis) {
 		for (int i = from; i < until; i++) {
-			this.processes.get(i).cutUntilMillis = this.nowMillis + millis;
-			this.processes.get(i).disturbedMillis = this.nowMillis + millis;
+			this.processes.get(i).partitionedUntilMillis = this.nowMillis + millis;
+			this.processes.get(i).faultEndMillis = this.nowMillis + millis;
 		}
 	}
 
@@ -143,31 +148,32 @@
 		return this.random.nextInt(this.processes.size());
 	}
 
-	/** Returns the most that reached the server in a window beyond what is allowed. */
-	double mostBeyond(double times, double extra) {
-		double most = Double.NEGATIVE_INFINITY;
+	/** Returns the highest number of requests over the bound in any window. */
+	double maxExcess(double factor, double extra) {
+		double max = Double.NEGATIVE_INFINITY;
 		int first = 0;
 		for (int last = 0; last < this.countedMillis.size(); last++) {
 			long untilMillis = this.countedMillis.get(last);
 			while (this.countedMillis.get(first) <= untilMillis - WINDOW_MILLIS) {
 				first++;
 			}
-			double allowed = times * WINDOW_MILLIS / 1000 * highest(untilMillis - WINDOW_MILLIS, untilMillis) + extra;
-			most = Math.max(most, last - first + 1 - allowed);
+			double allowed = factor * WINDOW_MILLIS / 1000 * highestLimit(untilMillis - WINDOW_MILLIS, untilMillis)
+					+ extra;
+			max = Math.max(max, last - first + 1 - allowed);
 		}
-		return most;
+		return max;
 	}
 
-	private double highest(long fromMillis, long untilMillis) {
+	private double highestLimit(long fromMillis, long untilMillis) {
 		Map.Entry<Long, Double> before = this.limits.floorEntry(fromMillis);
-		double highest = (before != null) ? before.getValue() : 0;
+		double highestLimit = (before != null) ? before.getValue() : 0;
 		for (double limit : this.limits.subMap(fromMillis, true, untilMillis, true).values()) {
-			highest = Math.max(highest, limit);
+			highestLimit = Math.max(highestLimit, limit);
 		}
-		return highest;
+		return highestLimit;
 	}
 
-	/** Returns how many requests a second reached the server since a time. */
+	/** Returns the rate at which requests reached the server since a time. */
 	double usedPerSecond(long sinceMillis) {
 		long count = this.allMillis.stream().filter((atMillis) -> atMillis > sinceMillis).count();
 		return 1000.0 * count / (this.nowMillis - sinceMillis);
@@ -177,23 +183,24 @@
 		return this.nowMillis;
 	}
 
-	private void send(int from, int to, Runnable work) {
-		if (from != to && (this.processes.get(from).cut() || this.processes.get(to).cut()
-				|| this.random.nextDouble() < this.lost)) {
+	private void send(int from, int to, Runnable action) {
+		if (from != to && (this.processes.get(from).isPartitioned() || this.processes.get(to).isPartitioned()
+				|| this.random.nextDouble() < this.lossRate)) {
 			return;
 		}
-		long way = (from == to) ? 0 : 1 + this.random.nextLong(this.wayMillis);
-		this.due.add(new Message(this.nowMillis + way, to, work));
+		long delayMillis = (from == to) ? 0 : 1 + this.random.nextLong(this.maxDelayMillis);
+		this.pendingMessages.add(new Message(this.nowMillis + delayMillis, to, action));
 	}
 
-	// One way for all, so that a report of one to all is one message.
+	// One delay for all receivers, so that a report to all is one message.
 	private void report(int from) {
-		long way = 1 + this.random.nextLong(this.wayMillis);
-		boolean cut = this.processes.get(from).cut();
-		this.due.add(new Message(this.nowMillis + way, -1, () -> this.processes.forEach((other) -> {
-			boolean reached = other.runs() && !other.cut() && !cut && this.random.nextDouble() >= this.lost;
+		long delayMillis = 1 + this.random.nextLong(this.maxDelayMillis);
+		boolean partitioned = this.processes.get(from).isPartitioned();
+		this.pendingMessages.add(new Message(this.nowMillis + delayMillis, -1, () -> this.processes.forEach((other) -> {
+			boolean reached = other.isRunning() && !other.isPartitioned() && !partitioned
+					&& this.random.nextDouble() >= this.lossRate;
 			if (reached) {
-				other.heard(from, this.nowMillis);
+				other.receivedReport(from, this.nowMillis);
 			}
 		})));
 	}
@@ -205,11 +212,11 @@
 		}
 	}
 
-	private final class Member {
+	private final class SimulatedProcess {
 
 		private final int number;
 
-		private final long[] heardMillis;
+		private final long[] lastReportMillis;
 
 		private double weight = 1;
 
@@ -223,68 +230,68 @@
 
 		private long nextReportMillis;
 
-		private long nextAskMillis;
+		private long nextRequestMillis;
 
-		private double known;
+		private double knownLimit;
 
 		private long downUntilMillis = Long.MIN_VALUE;
 
-		private long cutUntilMillis = Long.MIN_VALUE;
+		private long partitionedUntilMillis = Long.MIN_VALUE;
 
-		private long disturbedMillis = Long.MIN_VALUE / 2;
+		private long faultEndMillis = Long.MIN_VALUE / 2;
 
-		private Member(int number, int count) {
+		private SimulatedProcess(int number, int count) {
 			this.number = number;
-			this.heardMillis = new long[count];
-			begin(LimitModel.this.nowMillis);
+			this.lastReportMillis = new long[count];
+			start(LimitModel.this.nowMillis);
 		}
 
-		private void begin(long atMillis) {
+		private void start(long atMillis) {
 			this.ledger = new LimitLedger();
 			this.granted = new GrantedRate();
 			this.arrivals = new ArrivalRate();
 			this.waiting = 0;
-			this.known = LimitWord.ENDED;
-			Arrays.fill(this.heardMillis, Long.MIN_VALUE / 2);
-			this.nextReportMillis = atMillis + LimitModel.this.random.nextLong(LimitModel.this.reportMillis);
-			this.nextAskMillis = atMillis + LimitModel.this.random.nextLong(LimitModel.this.askMillis);
+			this.knownLimit = LimitWord.ENDED;
+			Arrays.fill(this.lastReportMillis, Long.MIN_VALUE / 2);
+			this.nextReportMillis = atMillis + LimitModel.this.random.nextLong(LimitModel.this.reportPeriodMillis);
+			this.nextRequestMillis = atMillis + LimitModel.this.random.nextLong(LimitModel.this.requestPeriodMillis);
 		}
 
-		private boolean runs() {
+		private boolean isRunning() {
 			return LimitModel.this.nowMillis >= this.downUntilMillis;
 		}
 
-		private boolean cut() {
-			return LimitModel.this.nowMillis < this.cutUntilMillis;
+		private boolean isPartitioned() {
+			return LimitModel.this.nowMillis < this.partitionedUntilMillis;
 		}
 
-		private void heard(int other, long atMillis) {
-			this.heardMillis[other] = atMillis;
+		private void receivedReport(int other, long atMillis) {
+			this.lastReportMillis[other] = atMillis;
 		}
 
 		private void tick() {
-			if (!runs()) {
+			if (!isRunning()) {
 				return;
 			}
-			this.known = limitNow();
+			this.knownLimit = limitNow();
 			arrive();
-			while (this.waiting > 0 && this.granted.allows(this.known, LimitModel.this.nowMillis)) {
+			while (this.waiting > 0 && this.granted.allows(this.knownLimit, LimitModel.this.nowMillis)) {
 				this.waiting--;
-				this.granted.sent(this.known, LimitModel.this.nowMillis);
+				this.granted.sent(this.knownLimit, LimitModel.this.nowMillis);
 				sent();
 			}
 			if (LimitModel.this.nowMillis >= this.nextReportMillis) {
-				this.nextReportMillis = LimitModel.this.nowMillis + LimitModel.this.reportMillis;
+				this.nextReportMillis = LimitModel.this.nowMillis + LimitModel.this.reportPeriodMillis;
 				LimitModel.this.report(this.number);
 			}
-			if (LimitModel.this.nowMillis >= this.nextAskMillis) {
-				this.nextAskMillis = LimitModel.this.nowMillis + LimitModel.this.askMillis;
-				ask();
+			if (LimitModel.this.nowMillis >= this.nextRequestMillis) {
+				this.nextRequestMillis = LimitModel.this.nowMillis + LimitModel.this.requestPeriodMillis;
+				requestGrant();
 			}
 		}
 
 		private void arrive() {
-			double expected = LimitModel.this.perProcess * this.weight * TICK_MILLIS / 1000;
+			double expected = LimitModel.this.arrivalsPerProcess * this.weight * TICK_MILLIS / 1000;
 			while (LimitModel.this.random.nextDouble() < expected) {
 				expected -= 1;
 				this.arrivals.arrived(LimitModel.this.nowMillis);
@@ -293,39 +300,40 @@
 		}
 
 		private void sent() {
-			boolean counts = LimitModel.this.nowMillis - this.disturbedMillis > EXCUSED_MILLIS
-					&& LimitModel.this.nowMillis - LimitModel.this.beginMillis > EXCUSED_MILLIS;
-			LimitModel.this.due.add(new Message(LimitModel.this.nowMillis + LimitModel.this.random.nextInt(10), -1,
-					() -> LimitModel.this.arrived(counts)));
+			boolean counts = LimitModel.this.nowMillis - this.faultEndMillis > RECOVERY_MILLIS
+					&& LimitModel.this.nowMillis - LimitModel.this.startMillis > RECOVERY_MILLIS;
+			LimitModel.this.pendingMessages
+				.add(new Message(LimitModel.this.nowMillis + LimitModel.this.random.nextInt(10), -1,
+						() -> LimitModel.this.arrived(counts)));
 		}
 
-		private int seat() {
-			long silence = Math.max(SILENCE_MILLIS, SILENCE_PERIODS * LimitModel.this.reportMillis);
-			int best = this.number;
-			for (int other = 0; other < this.heardMillis.length; other++) {
-				boolean live = LimitModel.this.nowMillis - this.heardMillis[other] <= silence;
-				best = (live && order(other) < order(best)) ? other : best;
+		private int coordinator() {
+			long silenceMillis = Math.max(SILENCE_MILLIS, SILENCE_PERIODS * LimitModel.this.reportPeriodMillis);
+			int first = this.number;
+			for (int other = 0; other < this.lastReportMillis.length; other++) {
+				boolean live = LimitModel.this.nowMillis - this.lastReportMillis[other] <= silenceMillis;
+				first = (live && rank(other) < rank(first)) ? other : first;
 			}
-			return best;
+			return first;
 		}
 
-		private int order(int process) {
+		private int rank(int process) {
 			return Math.floorMod(process * 31 + 17, 1009);
 		}
 
-		private void ask() {
-			int seat = seat();
-			long askedMillis = LimitModel.this.nowMillis;
-			RateWish wish = new RateWish(this.known, this.arrivals.perSecond(askedMillis),
-					this.granted.perSecond(askedMillis), this.waiting);
-			GrantedRate ofThisLife = this.granted;
-			Member other = LimitModel.this.processes.get(seat);
-			LimitModel.this.send(this.number, seat, () -> {
-				RateGrant grant = other.ledger.grant("p" + this.number, wish, other.seat() == seat,
+		private void requestGrant() {
+			int coordinator = coordinator();
+			long requestedMillis = LimitModel.this.nowMillis;
+			RateWish demand = new RateWish(this.knownLimit, this.arrivals.perSecond(requestedMillis),
+					this.granted.perSecond(requestedMillis), this.waiting);
+			GrantedRate grantedAtRequest = this.granted;
+			SimulatedProcess other = LimitModel.this.processes.get(coordinator);
+			LimitModel.this.send(this.number, coordinator, () -> {
+				RateGrant grant = other.ledger.grant("p" + this.number, demand, other.coordinator() == coordinator,
 						LimitModel.this.leaseMillis, LimitModel.this.nowMillis);
-				LimitModel.this.send(seat, this.number, () -> {
-					if (this.granted == ofThisLife && LimitModel.this.nowMillis - askedMillis < 800) {
-						this.granted.use(grant, askedMillis, this.known, LimitModel.this.nowMillis);
+				LimitModel.this.send(coordinator, this.number, () -> {
+					if (this.granted == grantedAtRequest && LimitModel.this.nowMillis - requestedMillis < 800) {
+						this.granted.use(grant, requestedMillis, this.knownLimit, LimitModel.this.nowMillis);
 					}
 				});
 			});
@@ -333,7 +341,7 @@
 
 	}
 
-	private record Message(long atMillis, int to, Runnable work) {
+	private record Message(long atMillis, int to, Runnable action) {
 
 	}
 
--- a/decide/src/test/java/org/snowwind/decide/limit/NamedLimitTests.java
+++ b/decide/src/test/java/org/snowwind/decide/limit/NamedLimitTests.java
@@ -15,18 +15,18 @@
 	@ParameterizedTest
 	@CsvSource(delimiter = ';', value = { "1;1", "0;0", "0.05;0.05", ".5;0.5", "2.;2", " 10 ;10", "1e2;100", "3,7;3",
 			"7, 3;3", "nothing, 4;4", "-1, 6;6" })
-	void aNumberIsARateAndOfSeveralTheLowest(String value, double perSecond) {
+	void aNumberIsTheLimitAndOfSeveralTheLowest(String value, double perSecond) {
 		assertThat(NamedLimit.read(value)).isEqualTo(new NamedLimit.Rate(perSecond));
 	}
 
 	@ParameterizedTest
 	@ValueSource(strings = { "", " ", "many", "-1", "NaN", "Infinity", "1e400", "1d", "0x10", "1 2", "--" })
-	void whatIsNoRateOfUseIsUnreadable(String value) {
+	void aValueWithoutAUsableNumberIsUnreadable(String value) {
 		assertThat(NamedLimit.read(value)).isEqualTo(new NamedLimit.Unreadable(value));
 	}
 
 	@Test
-	void noHeaderNamesNone() {
+	void aMissingHeaderAnnouncesNoLimit() {
 		assertThat(NamedLimit.read(null)).isEqualTo(NamedLimit.NONE);
 	}
 
