--- a/balance/src/main/java/org/snowwind/balance/demand/DemandEstimate.java
+++ b/balance/src/main/java/org/snowwind/balance/demand/DemandEstimate.java
@@ -1,33 +1,34 @@
 package org.snowwind.balance.demand;
 
 /**
- * An estimate of the tokens that each expert gets, which remembers long while errors are
- * noise and short while they have a direction.
+ * Adaptive estimate of the tokens that each expert gets. It averages over a long time
+ * while prediction errors are noise, and over a short time while they have a trend.
  *
  * <p>
- * How much a new count weighs follows, for each expert, the square of the tracking signal
- * (Trigg and Leach): the smoothed error over the smoothed size of errors. Noise cancels
- * in the first and not in the second; a drift does not cancel. A missing count changes
- * nothing, so that a gap is never taken for silence.
+ * The weight of a new count is, for each expert, the square of the tracking signal (Trigg
+ * and Leach): the smoothed error divided by the smoothed absolute error. Noise cancels
+ * out in the smoothed error, but not in the smoothed absolute error; a drift cancels out
+ * in neither. A missing count changes no estimate, so that a gap is not mistaken for a
+ * lack of demand.
  */
 public final class DemandEstimate {
 
-	private static final double SIGNAL_SHARE = 0.08;
+	private static final double SIGNAL_SMOOTHING = 0.08;
 
-	private static final double LEAST_SHARE = 0.02;
+	private static final double MIN_WEIGHT = 0.02;
 
-	private static final double MOST_SHARE = 0.6;
+	private static final double MAX_WEIGHT = 0.6;
 
-	private static final double FIRST_COUNTS = 50;
+	private static final double WARM_UP_COUNTS = 50;
 
-	/** What part of past errors is forgotten with each count of one expert. */
-	private static final double MEMORY_LOSS = 1e-4;
+	/** The rate at which past errors decay with each count of one expert. */
+	private static final double ERROR_DECAY = 1e-4;
 
 	private final double[][] level;
 
 	private final double[][] error;
 
-	private final double[][] errorSize;
+	private final double[][] absoluteError;
 
 	private double varianceSum;
 
@@ -36,19 +37,20 @@
 	private int counts;
 
 	/**
-	 * Creates an estimate that knows nothing.
-	 * @param layers how many layers there are
-	 * @param experts how many experts each has
+	 * Creates an estimate without any counts.
+	 * @param layers the number of layers
+	 * @param experts the number of experts in each layer
 	 */
 	public DemandEstimate(int layers, int experts) {
 		this.level = new double[layers][experts];
 		this.error = new double[layers][experts];
-		this.errorSize = new double[layers][experts];
+		this.absoluteError = new double[layers][experts];
 	}
 
 	/**
-	 * Takes note of one period's counts.
-	 * @param periodCounts tokens by layer and expert; a {@code null} layer is a gap
+	 * Updates the estimate with the counts of one period.
+	 * @param periodCounts tokens by layer and expert; {@code null} for a layer without
+	 * counts
 	 */
 	public void observe(double[][] periodCounts) {
 		this.counts++;
@@ -61,47 +63,49 @@
 
 	private void observe(int layer, double[] periodCounts) {
 		for (int expert = 0; expert < periodCounts.length; expert++) {
-			double before = this.level[layer][expert];
-			double missed = periodCounts[expert] - before;
-			boolean unseen = this.errorSize[layer][expert] == 0 && before == 0;
-			if (unseen) {
+			double previousLevel = this.level[layer][expert];
+			double predictionError = periodCounts[expert] - previousLevel;
+			boolean firstCount = this.absoluteError[layer][expert] == 0 && previousLevel == 0;
+			if (firstCount) {
 				this.level[layer][expert] = periodCounts[expert];
-				this.errorSize[layer][expert] = Double.MIN_NORMAL;
+				this.absoluteError[layer][expert] = Double.MIN_NORMAL;
 				continue;
 			}
-			double share = shareOf(layer, expert, missed);
-			this.level[layer][expert] = before + share * missed;
-			note(missed, share, before);
+			double weight = weightOf(layer, expert, predictionError);
+			this.level[layer][expert] = previousLevel + weight * predictionError;
+			updateErrorStatistics(predictionError, weight, previousLevel);
 		}
 	}
 
-	private double shareOf(int layer, int expert, double missed) {
-		this.error[layer][expert] += SIGNAL_SHARE * (missed - this.error[layer][expert]);
-		this.errorSize[layer][expert] += SIGNAL_SHARE * (Math.abs(missed) - this.errorSize[layer][expert]);
-		double size = this.errorSize[layer][expert];
-		double signal = (size > 0) ? Math.abs(this.error[layer][expert]) / size : 0;
-		double settled = Math.min(1, this.counts / FIRST_COUNTS);
-		double byCount = 1.0 / (1 + this.counts);
-		double bySignal = settled * signal * signal;
-		return Math.min(MOST_SHARE, Math.max(LEAST_SHARE, Math.max(byCount, bySignal)));
+	private double weightOf(int layer, int expert, double predictionError) {
+		this.error[layer][expert] += SIGNAL_SMOOTHING * (predictionError - this.error[layer][expert]);
+		this.absoluteError[layer][expert] += SIGNAL_SMOOTHING
+				* (Math.abs(predictionError) - this.absoluteError[layer][expert]);
+		double smoothedAbsoluteError = this.absoluteError[layer][expert];
+		double signal = (smoothedAbsoluteError > 0) ? Math.abs(this.error[layer][expert]) / smoothedAbsoluteError : 0;
+		double warmUp = Math.min(1, this.counts / WARM_UP_COUNTS);
+		double weightByCount = 1.0 / (1 + this.counts);
+		double weightBySignal = warmUp * signal * signal;
+		return Math.min(MAX_WEIGHT, Math.max(MIN_WEIGHT, Math.max(weightByCount, weightBySignal)));
 	}
 
-	private void note(double missed, double share, double before) {
-		double variance = missed * missed * share / (2 - share);
-		this.varianceSum = this.varianceSum * (1 - MEMORY_LOSS) + variance;
-		this.levelSquares = this.levelSquares * (1 - MEMORY_LOSS) + before * before;
+	private void updateErrorStatistics(double predictionError, double weight, double previousLevel) {
+		double variance = predictionError * predictionError * weight / (2 - weight);
+		this.varianceSum = this.varianceSum * (1 - ERROR_DECAY) + variance;
+		this.levelSquares = this.levelSquares * (1 - ERROR_DECAY) + previousLevel * previousLevel;
 	}
 
 	/**
-	 * Tells how far the estimate is off, as far as past predictions show.
-	 * @return the standard error of an expert's level, relative to the level
+	 * Returns the relative error of the estimate, computed from the errors of past
+	 * predictions.
+	 * @return the standard error of the level of an expert, relative to the level
 	 */
 	public double relativeError() {
 		return (this.levelSquares == 0) ? 0 : Math.sqrt(this.varianceSum / this.levelSquares);
 	}
 
 	/**
-	 * Returns what is expected.
+	 * Returns the expected demand.
 	 * @return tokens by layer and expert
 	 */
 	public double[][] expected() {
--- a/balance/src/main/java/org/snowwind/balance/demand/package-info.java
+++ b/balance/src/main/java/org/snowwind/balance/demand/package-info.java
@@ -1,4 +1,4 @@
 /**
- * How much each expert is asked for, from counts that are late and have gaps.
+ * Estimates the demand for each expert from counts that arrive late and have gaps.
  */
 package org.snowwind.balance.demand;
--- a/balance/src/main/java/org/snowwind/balance/handover/OrderMessage.java
+++ b/balance/src/main/java/org/snowwind/balance/handover/OrderMessage.java
@@ -1,18 +1,18 @@
 package org.snowwind.balance.handover;
 
 /**
- * An order as it goes over the wire.
+ * Wire representation of an order.
  *
- * @param type what is ordered
- * @param ballot the owner's ballot
- * @param generation the map of a bind, else 0
- * @param step the step of a bind, else 0
- * @param boundBallot the ballot that a confirm confirms, else 0
+ * @param type the type of the order
+ * @param ballot the ballot of the owner
+ * @param generation the generation of the map of a bind, otherwise 0
+ * @param step the step of a bind, otherwise 0
+ * @param boundBallot the ballot of the bind that a confirm refers to, otherwise 0
  */
 public record OrderMessage(Type type, long ballot, long generation, long step, long boundBallot) {
 
 	/**
-	 * Makes the message of an order.
+	 * Creates the message for an order.
 	 * @param order the order
 	 * @return the message
 	 */
@@ -28,7 +28,7 @@
 	}
 
 	/**
-	 * Makes the order of this message.
+	 * Returns the order that this message represents.
 	 * @return the order
 	 */
 	public RankOrder toOrder() {
@@ -41,7 +41,7 @@
 	}
 
 	/**
-	 * What is ordered.
+	 * Type of an order.
 	 */
 	public enum Type {
 
--- a/balance/src/main/java/org/snowwind/balance/handover/RankGroup.java
+++ b/balance/src/main/java/org/snowwind/balance/handover/RankGroup.java
@@ -3,17 +3,17 @@
 import java.util.function.Consumer;
 
 /**
- * The ranks of a group, as far as a switch needs them. Orders and answers may be lost,
- * doubled or late.
+ * Sends orders to the ranks of a group. Orders and answers may be lost, duplicated,
+ * delayed or reordered.
  */
 @FunctionalInterface
 public interface RankGroup {
 
 	/**
 	 * Sends an order to a rank.
-	 * @param rank the rank's place in the group
+	 * @param rank the index of the rank in the group
 	 * @param order the order
-	 * @param whenAnswered gets the rank's state, if an answer comes
+	 * @param whenAnswered receives the state of the rank if an answer arrives
 	 */
 	void order(int rank, RankOrder order, Consumer<RankState> whenAnswered);
 
--- a/balance/src/main/java/org/snowwind/balance/handover/RankOrder.java
+++ b/balance/src/main/java/org/snowwind/balance/handover/RankOrder.java
@@ -1,19 +1,19 @@
 package org.snowwind.balance.handover;
 
 /**
- * What an owner orders a rank to do. Every order carries the owner's ballot; a rank
- * refuses an order whose ballot is lower than the highest it has seen.
+ * Order from an owner to a rank. Every order carries the ballot of the owner. A rank
+ * rejects an order whose ballot is lower than the highest that it has seen.
  */
 public sealed interface RankOrder permits RankOrder.Ask, RankOrder.Bind, RankOrder.Confirm, RankOrder.Abort {
 
 	/**
 	 * Returns the ballot.
-	 * @return the owner's term and attempt in one number
+	 * @return the term and the attempt of the owner, combined into one number
 	 */
 	long ballot();
 
 	/**
-	 * Asks for the rank's state and closes it to lower ballots.
+	 * Asks for the state of the rank and makes it reject lower ballots from now on.
 	 *
 	 * @param ballot the ballot
 	 */
@@ -22,10 +22,12 @@
 	}
 
 	/**
-	 * Binds the rank not to run a step before it is confirmed.
+	 * Binds the rank to switch maps at a step, which it must not run before the bind is
+	 * confirmed.
 	 *
 	 * @param ballot the ballot
-	 * @param generation the map to run from that step on, which the rank has prepared
+	 * @param generation the generation of the map to run from that step on, which the
+	 * rank has prepared
 	 * @param step the step
 	 */
 	record Bind(long ballot, long generation, long step) implements RankOrder {
@@ -33,17 +35,17 @@
 	}
 
 	/**
-	 * Confirms what was bound by a ballot.
+	 * Confirms the bind of a ballot.
 	 *
 	 * @param ballot the ballot of the order
-	 * @param boundBallot the ballot by which the rank was bound
+	 * @param boundBallot the ballot of the bind
 	 */
 	record Confirm(long ballot, long boundBallot) implements RankOrder {
 
 	}
 
 	/**
-	 * Frees the rank of what it was bound to and not confirmed.
+	 * Cancels an unconfirmed bind of the rank.
 	 *
 	 * @param ballot the ballot
 	 */
--- a/balance/src/main/java/org/snowwind/balance/handover/RankState.java
+++ b/balance/src/main/java/org/snowwind/balance/handover/RankState.java
@@ -1,24 +1,24 @@
 package org.snowwind.balance.handover;
 
 /**
- * What a rank says of itself.
+ * State of a rank, as the rank reports it.
  *
- * @param rank its place in the group
- * @param ballot the highest ballot that it has seen
- * @param generation the map that it runs
- * @param nextStep the step that it runs next
- * @param boundBallot the ballot by which it is bound, 0 if it is not
- * @param boundGeneration the map that it is bound to
- * @param boundStep the step from which on it is bound
- * @param confirmed whether that is confirmed
+ * @param rank the index of the rank in the group
+ * @param ballot the highest ballot that the rank has seen
+ * @param generation the generation of the map that the rank runs
+ * @param nextStep the next step that the rank will run
+ * @param boundBallot the ballot of the bind that is in force, 0 if there is none
+ * @param boundGeneration the generation of the map that the rank is bound to run
+ * @param boundStep the step at which it will switch to that map
+ * @param confirmed whether the bind is confirmed
  */
 public record RankState(int rank, long ballot, long generation, long nextStep, long boundBallot, long boundGeneration,
 		long boundStep, boolean confirmed) {
 
 	/**
-	 * Tells whether the rank is bound by a ballot.
+	 * Returns whether the rank is bound by a ballot.
 	 * @param byBallot the ballot
-	 * @return true if it is
+	 * @return true if the bind in force has this ballot
 	 */
 	public boolean boundBy(long byBallot) {
 		return this.boundBallot == byBallot;
--- a/balance/src/main/java/org/snowwind/balance/handover/RankSwitch.java
+++ b/balance/src/main/java/org/snowwind/balance/handover/RankSwitch.java
@@ -1,15 +1,16 @@
 package org.snowwind.balance.handover;
 
 /**
- * A rank's part in a switch: it runs a bound step only once it is confirmed.
+ * State machine of a rank during a switch. A rank runs the step that it is bound to only
+ * once the bind is confirmed.
  *
  * <p>
- * A rank that reaches the bound step unconfirmed stalls. In a lock-step group that costs
- * nothing extra, since the other ranks wait for it anyway.
+ * A rank that reaches the bound step before the confirmation stalls. This costs nothing
+ * extra in a lock-step group, because the other ranks wait for it anyway.
  */
 public final class RankSwitch {
 
-	/** The step may not be run yet. */
+	/** Returned in place of a generation while the next step must not be run. */
 	public static final long STALL = -1;
 
 	private static final long UNBOUND = 0;
@@ -31,9 +32,9 @@
 	private boolean confirmed;
 
 	/**
-	 * Creates a rank's part.
-	 * @param rank its place in the group
-	 * @param generation the map that it runs
+	 * Creates the state machine of a rank.
+	 * @param rank the index of the rank in the group
+	 * @param generation the generation of the map that the rank runs
 	 */
 	public RankSwitch(int rank, long generation) {
 		this.rank = rank;
@@ -41,24 +42,24 @@
 	}
 
 	/**
-	 * Obeys or refuses an order.
+	 * Executes an order, or rejects it if its ballot is too low.
 	 * @param order the order
 	 * @return the state afterwards
 	 */
 	public RankState on(RankOrder order) {
 		if (order.ballot() >= this.ballot) {
 			this.ballot = order.ballot();
-			obey(order);
+			execute(order);
 		}
 		return state();
 	}
 
-	private void obey(RankOrder order) {
+	private void execute(RankOrder order) {
 		if (order instanceof RankOrder.Bind bind) {
 			bind(bind);
 		}
 		else if (order instanceof RankOrder.Confirm confirm) {
-			this.confirmed = this.confirmed || (bound() && this.boundBallot == confirm.boundBallot());
+			this.confirmed = this.confirmed || (isBound() && this.boundBallot == confirm.boundBallot());
 		}
 		else if (order instanceof RankOrder.Abort && !this.confirmed) {
 			this.boundBallot = UNBOUND;
@@ -66,24 +67,24 @@
 	}
 
 	private void bind(RankOrder.Bind order) {
-		boolean inTime = this.nextStep < order.step();
-		if (!this.confirmed && inTime) {
+		boolean stepIsAhead = this.nextStep < order.step();
+		if (!this.confirmed && stepIsAhead) {
 			this.boundBallot = order.ballot();
 			this.boundGeneration = order.generation();
 			this.boundStep = order.step();
 		}
 	}
 
-	private boolean bound() {
+	private boolean isBound() {
 		return this.boundBallot != UNBOUND;
 	}
 
 	/**
-	 * Tells which map the next step runs on.
+	 * Returns the generation of the map on which the next step runs.
 	 * @return the generation, or {@link #STALL}
 	 */
 	public long generationOfNextStep() {
-		if (!bound() || this.nextStep < this.boundStep) {
+		if (!isBound() || this.nextStep < this.boundStep) {
 			return this.generation;
 		}
 		return this.confirmed ? this.boundGeneration : STALL;
@@ -91,26 +92,26 @@
 
 	/**
 	 * Runs the next step.
-	 * @return the generation that it ran on
-	 * @throws IllegalStateException if the step may not be run yet
+	 * @return the generation of the map on which it ran
+	 * @throws IllegalStateException if the step must not be run yet
 	 */
 	public long runStep() {
-		long runs = generationOfNextStep();
-		if (runs == STALL) {
-			throw new IllegalStateException("step " + this.nextStep + " is bound and not confirmed");
+		long stepGeneration = generationOfNextStep();
+		if (stepGeneration == STALL) {
+			throw new IllegalStateException("step " + this.nextStep + " is bound but not confirmed");
 		}
-		if (bound() && this.nextStep >= this.boundStep) {
+		if (isBound() && this.nextStep >= this.boundStep) {
 			this.generation = this.boundGeneration;
 			this.boundBallot = UNBOUND;
 			this.confirmed = false;
 		}
 		this.nextStep++;
-		return runs;
+		return stepGeneration;
 	}
 
 	/**
-	 * Returns the state.
-	 * @return what the rank says of itself
+	 * Returns the state of the rank.
+	 * @return the state that the rank reports
 	 */
 	public RankState state() {
 		return new RankState(this.rank, this.ballot, this.generation, this.nextStep, this.boundBallot,
--- a/balance/src/main/java/org/snowwind/balance/handover/SwitchDriver.java
+++ b/balance/src/main/java/org/snowwind/balance/handover/SwitchDriver.java
@@ -3,8 +3,8 @@
 import org.snowwind.model.MonotonicClock;
 
 /**
- * Carries out what an owner wants: sends each rank its order again and again until the
- * switch is done. Confined to one thread.
+ * Drives a switch: sends each rank its current order repeatedly until the switch is
+ * complete. Confined to one thread.
  */
 public final class SwitchDriver {
 
@@ -18,15 +18,16 @@
 
 	private final long attemptMillis;
 
-	private long attemptBeganMillis;
+	private long attemptStartMillis;
 
 	/**
 	 * Creates a driver.
-	 * @param owner decides
-	 * @param group takes the orders
+	 * @param owner decides which order each rank gets
+	 * @param group delivers the orders to the ranks
 	 * @param ranks how many ranks the group has
-	 * @param clock tells the time
-	 * @param attemptMillis an attempt that takes longer is begun anew, in milliseconds
+	 * @param clock the clock that times attempts
+	 * @param attemptMillis the time after which an attempt is begun again, in
+	 * milliseconds
 	 */
 	public SwitchDriver(SwitchOwner owner, RankGroup group, int ranks, MonotonicClock clock, long attemptMillis) {
 		this.owner = owner;
@@ -34,17 +35,18 @@
 		this.ranks = ranks;
 		this.clock = clock;
 		this.attemptMillis = attemptMillis;
-		this.attemptBeganMillis = clock.nowMillis();
+		this.attemptStartMillis = clock.nowMillis();
 	}
 
 	/**
-	 * Sends every rank the order that it should get now.
-	 * @return true once every rank runs the target
+	 * Sends every rank its current order, and begins a new attempt if the last one has
+	 * timed out.
+	 * @return true once every rank runs the target map
 	 */
 	public boolean tick() {
-		if (this.clock.nowMillis() - this.attemptBeganMillis > this.attemptMillis) {
+		if (this.clock.nowMillis() - this.attemptStartMillis > this.attemptMillis) {
 			this.owner.tryAgain();
-			this.attemptBeganMillis = this.clock.nowMillis();
+			this.attemptStartMillis = this.clock.nowMillis();
 		}
 		boolean done = true;
 		for (int rank = 0; rank < this.ranks; rank++) {
--- a/balance/src/main/java/org/snowwind/balance/handover/SwitchOwner.java
+++ b/balance/src/main/java/org/snowwind/balance/handover/SwitchOwner.java
@@ -5,14 +5,17 @@
 import java.util.Optional;
 
 /**
- * An owner's part in a switch: ask all, bind all, confirm all.
+ * Coordinates a switch: asks all ranks for their state, binds all to a step, and confirms
+ * the step to all.
  *
  * <p>
- * An owner begins every attempt by asking all ranks under a new ballot, which closes them
- * to whatever lower ballots still have under way. If any rank was confirmed before, the
- * same is confirmed to all; if none was, whatever was bound is aborted. So two owners, of
- * whom one may wake from a pause, never bring ranks to different ends. Ballots grow with
- * the term, which the platform gives by a conditional write.
+ * An owner begins every attempt by asking all ranks under a new ballot. From then on the
+ * ranks reject orders with lower ballots that are still in flight. If any rank has a
+ * confirmed bind, or runs the target already, the owner confirms the switch to all ranks;
+ * otherwise it aborts all earlier binds before it binds the ranks to a new step. Two
+ * owners, one of which may resume after a long pause, therefore never bring ranks to
+ * different outcomes. Ballots grow with the term, which the platform assigns by a
+ * conditional write.
  */
 public final class SwitchOwner {
 
@@ -35,11 +38,11 @@
 	private long boundStep;
 
 	/**
-	 * Creates an owner that begins by asking.
+	 * Creates an owner in the phase {@link Phase#ASK}.
 	 * @param ranks how many ranks the group has
-	 * @param term the owner's term, higher than any before
-	 * @param targetGeneration the map that the group should run
-	 * @param leadSteps how many steps ahead the switch is bound
+	 * @param term the term of the owner, higher than any earlier one
+	 * @param targetGeneration the generation of the map that the group should run
+	 * @param leadSteps how many steps after the most advanced rank the switch takes place
 	 */
 	public SwitchOwner(int ranks, long term, long targetGeneration, long leadSteps) {
 		this.ranks = ranks;
@@ -49,9 +52,9 @@
 	}
 
 	/**
-	 * Returns the order that a rank should get now; sending it again does no harm.
-	 * @param rank the rank's place in the group
-	 * @return the order, empty once the rank runs the target
+	 * Returns the order to send to a rank now. Orders are idempotent.
+	 * @param rank the index of the rank in the group
+	 * @return the order, empty once the rank runs the target map
 	 */
 	public Optional<RankOrder> orderFor(int rank) {
 		RankState last = this.answers.get(rank);
@@ -69,23 +72,24 @@
 	}
 
 	/**
-	 * Takes note of a rank's answer.
-	 * @param state what the rank says of itself
+	 * Handles the answer of a rank.
+	 * @param state the state that the rank reports
 	 */
 	public void on(RankState state) {
 		if (state.ballot() != this.ballot) {
 			return;
 		}
-		RankState before = this.answers.get(state.rank());
-		boolean older = before != null && before.nextStep() > state.nextStep();
-		if (!older) {
+		RankState previous = this.answers.get(state.rank());
+		boolean stale = previous != null && previous.nextStep() > state.nextStep();
+		if (!stale) {
 			this.answers.put(state.rank(), state);
 		}
 		advance();
 	}
 
 	/**
-	 * Begins a new attempt, when the last one has taken too long.
+	 * Begins a new attempt after the last one has taken too long. A switch that is being
+	 * confirmed is not begun again.
 	 */
 	public void tryAgain() {
 		if (this.phase != Phase.CONFIRM) {
@@ -129,10 +133,10 @@
 	}
 
 	private void afterAbort() {
-		boolean allFree = this.answers.values().stream().allMatch((state) -> state.boundBallot() == 0);
-		if (allFree) {
-			long furthest = this.answers.values().stream().mapToLong(RankState::nextStep).max().orElse(0);
-			this.boundStep = furthest + this.leadSteps;
+		boolean noneBound = this.answers.values().stream().allMatch((state) -> state.boundBallot() == 0);
+		if (noneBound) {
+			long maxNextStep = this.answers.values().stream().mapToLong(RankState::nextStep).max().orElse(0);
+			this.boundStep = maxNextStep + this.leadSteps;
 			enterUnderNewBallot(Phase.BIND);
 		}
 	}
@@ -145,7 +149,7 @@
 		}
 	}
 
-	// A delayed order of an earlier phase must not undo what a later one brought about.
+	// A delayed order of an earlier phase must not undo the effect of a later phase.
 	private void enterUnderNewBallot(Phase next) {
 		this.ballot++;
 		enter(next);
@@ -157,8 +161,8 @@
 	}
 
 	/**
-	 * Returns the phase.
-	 * @return what the owner is at
+	 * Returns the current phase.
+	 * @return the phase
 	 */
 	public Phase phase() {
 		return this.phase;
@@ -169,16 +173,16 @@
 	 */
 	public enum Phase {
 
-		/** Asks all ranks. */
+		/** Asks all ranks for their state. */
 		ASK,
 
-		/** Frees all ranks of what was bound before. */
+		/** Aborts unconfirmed binds of earlier ballots on all ranks. */
 		ABORT,
 
-		/** Binds all ranks to a step. */
+		/** Binds all ranks to the step at which they switch. */
 		BIND,
 
-		/** Confirms the step to all ranks. */
+		/** Confirms the bind to all ranks. */
 		CONFIRM
 
 	}
--- a/balance/src/main/java/org/snowwind/balance/handover/package-info.java
+++ b/balance/src/main/java/org/snowwind/balance/handover/package-info.java
@@ -1,4 +1,5 @@
 /**
- * The switch of a group from one expert map to the next, so that no step mixes two.
+ * Switches a group of ranks from one expert map to the next, so that no step runs on two
+ * maps.
  */
 package org.snowwind.balance.handover;
--- a/balance/src/main/java/org/snowwind/balance/plan/BalanceCost.java
+++ b/balance/src/main/java/org/snowwind/balance/plan/BalanceCost.java
@@ -1,26 +1,26 @@
 package org.snowwind.balance.plan;
 
 /**
- * What skew and moves cost, in one unit.
+ * Costs of skew and of moves, in a common unit.
  *
  * @param skewWeight the cost of a skew of 1 for one second
  * @param moveWeight the cost of moving one gigabyte
  * @param expertGigabytes the size of one expert of one layer
- * @param horizonSeconds for how long a better placement is expected to pay
+ * @param horizonSeconds how long a better placement is expected to bring its gain
  */
 public record BalanceCost(double skewWeight, double moveWeight, double expertGigabytes, double horizonSeconds) {
 
 	/**
-	 * Returns what a lower skew is worth.
-	 * @param lessSkew by how much the skew falls
+	 * Returns the gain from a lower skew.
+	 * @param skewReduction the reduction of the skew
 	 * @return the gain over the horizon
 	 */
-	public double gainOf(double lessSkew) {
-		return this.skewWeight * lessSkew * this.horizonSeconds;
+	public double gainOf(double skewReduction) {
+		return this.skewWeight * skewReduction * this.horizonSeconds;
 	}
 
 	/**
-	 * Returns what moves cost.
+	 * Returns the cost of moves.
 	 * @param moves how many experts are moved
 	 * @return the cost
 	 */
--- a/balance/src/main/java/org/snowwind/balance/plan/CostAwarePlanner.java
+++ b/balance/src/main/java/org/snowwind/balance/plan/CostAwarePlanner.java
@@ -6,29 +6,32 @@
 import java.util.PriorityQueue;
 
 /**
- * Moves an expert only where the skew it takes away is worth more than the move.
+ * Moves an expert only if the reduction of the skew is worth more than the move costs.
  *
  * <p>
- * For each layer a chain of changes relieves the hottest rank again and again: an expert
- * is moved off it, swapped with a colder one, or given another replica elsewhere. Of each
- * chain the stretch with the best gain for each move is taken, best stretch of all layers
- * first, until nothing pays or the weight store has no more time. Hysteresis comes out of
- * the cost: what does not pay is not done, and nothing has to be timed.
+ * For each layer, the planner computes a sequence of changes, each of which relieves the
+ * rank that is then the hottest: an expert is moved off it, swapped with a colder one, or
+ * given another replica elsewhere. Each sequence is divided into segments. The segment
+ * with the highest gain per move of all layers is taken first, until no segment is worth
+ * its cost or the weight store can deliver no more experts. Hysteresis follows from the
+ * cost: a change that is not worth its cost is not made, so no timer is needed.
  */
 public final class CostAwarePlanner implements MapPlanner {
 
-	private static final int MAX_CHAIN = 48;
+	private static final int MAX_CHANGES = 48;
 
-	/** A relief must exceed so many standard errors of the hottest rank's load. */
+	/**
+	 * The number of standard errors of the hottest rank's load that a relief must exceed.
+	 */
 	private static final double NOISE_SIGMAS = 4;
 
-	private static final double NOTHING = 1e-9;
+	private static final double MIN_RELIEF_PER_MOVE = 1e-9;
 
 	private final BalanceCost cost;
 
 	/**
 	 * Creates the planner.
-	 * @param cost what skew and moves cost
+	 * @param cost the costs of skew and of moves
 	 */
 	public CostAwarePlanner(BalanceCost cost) {
 		this.cost = cost;
@@ -36,136 +39,139 @@
 
 	@Override
 	public ExpertPlacement plan(ExpertPlacement current, double[][] demand, double relativeError, int maxMoves) {
-		double meanOfAll = 0;
+		double sumOfMeans = 0;
 		List<LayerPlacement> layers = new ArrayList<>();
 		for (int layer = 0; layer < demand.length; layer++) {
 			LayerPlacement placement = current.layer(layer, demand[layer]);
 			layers.add(placement);
-			meanOfAll += placement.meanLoad();
+			sumOfMeans += placement.meanLoad();
 		}
-		if (meanOfAll <= 0) {
+		if (sumOfMeans <= 0) {
 			return current;
 		}
 		List<List<List<Integer>>> planned = new ArrayList<>(current.ranksOf());
-		boolean changed = take(layers, new Scale(meanOfAll, relativeError), maxMoves, planned);
+		boolean changed = takeSegments(layers, new Scale(sumOfMeans, relativeError), maxMoves, planned);
 		return changed ? new ExpertPlacement(current.ranks(), current.slotsPerRank(), planned) : current;
 	}
 
-	private boolean take(List<LayerPlacement> layers, Scale scale, int maxMoves, List<List<List<Integer>>> planned) {
-		PriorityQueue<Stretch> best = new PriorityQueue<>(
-				Comparator.comparingDouble((stretch) -> -stretch.gainPerMove()));
+	private boolean takeSegments(List<LayerPlacement> layers, Scale scale, int maxMoves,
+			List<List<List<Integer>>> planned) {
+		PriorityQueue<Segment> best = new PriorityQueue<>(
+				Comparator.comparingDouble((segment) -> -segment.gainPerMove()));
 		for (int layer = 0; layer < layers.size(); layer++) {
-			addStretches(best, layer, layers.get(layer), scale);
+			addSegments(best, layer, layers.get(layer), scale);
 		}
 		int movesLeft = maxMoves;
 		boolean changed = false;
-		int[] takenOf = new int[layers.size()];
+		int[] nextSegmentOf = new int[layers.size()];
 		while (!best.isEmpty()) {
-			Stretch stretch = best.poll();
-			boolean inOrder = stretch.number() == takenOf[stretch.layer()];
-			if (!inOrder || stretch.moves() > movesLeft) {
+			Segment segment = best.poll();
+			boolean inOrder = segment.number() == nextSegmentOf[segment.layer()];
+			if (!inOrder || segment.moves() > movesLeft) {
 				continue;
 			}
-			takenOf[stretch.layer()]++;
-			movesLeft -= stretch.moves();
-			planned.set(stretch.layer(), stretch.result());
+			nextSegmentOf[segment.layer()]++;
+			movesLeft -= segment.moves();
+			planned.set(segment.layer(), segment.result());
 			changed = true;
 		}
 		return changed;
 	}
 
-	// Cuts a layer's chain into stretches of falling gain per move, each of which pays.
-	private void addStretches(PriorityQueue<Stretch> into, int layer, LayerPlacement placement, Scale scale) {
-		double noise = scale.noiseOf(placement);
-		List<Link> chain = chain(placement);
+	// Divides the sequence of a layer into segments of decreasing gain per move, each of
+	// which is worth its cost.
+	private void addSegments(PriorityQueue<Segment> segments, int layer, LayerPlacement placement, Scale scale) {
+		double noise = scale.noiseThreshold(placement);
+		List<Candidate> sequence = sequence(placement);
 		int from = 0;
 		int number = 0;
-		while (from < chain.size() - 1) {
-			int to = steepest(chain, from);
+		while (from < sequence.size() - 1) {
+			int to = endOfBestSegment(sequence, from);
 			if (to < 0) {
 				return;
 			}
-			int moves = chain.get(to).moves() - chain.get(from).moves();
-			double relief = chain.get(from).maxLoad() - chain.get(to).maxLoad();
-			double net = this.cost.gainOf(relief / scale.meanOfAll()) - this.cost.costOf(moves);
-			boolean seen = chain.get(0).maxLoad() - chain.get(to).maxLoad() > noise;
-			if (net <= 0 || !seen) {
+			int moves = sequence.get(to).moves() - sequence.get(from).moves();
+			double reduction = sequence.get(from).maxLoad() - sequence.get(to).maxLoad();
+			double netGain = this.cost.gainOf(reduction / scale.sumOfMeans()) - this.cost.costOf(moves);
+			boolean exceedsNoise = sequence.get(0).maxLoad() - sequence.get(to).maxLoad() > noise;
+			if (netGain <= 0 || !exceedsNoise) {
 				return;
 			}
-			into.add(new Stretch(layer, number, moves, net / moves, chain.get(to).result()));
+			segments.add(new Segment(layer, number, moves, netGain / moves, sequence.get(to).result()));
 			number++;
 			from = to;
 		}
 	}
 
-	private static int steepest(List<Link> chain, int from) {
+	private static int endOfBestSegment(List<Candidate> sequence, int from) {
 		int best = -1;
-		double bestSlope = NOTHING;
-		for (int to = from + 1; to < chain.size(); to++) {
-			int moves = chain.get(to).moves() - chain.get(from).moves();
-			double slope = (chain.get(from).maxLoad() - chain.get(to).maxLoad()) / moves;
-			if (slope > bestSlope) {
-				bestSlope = slope;
+		double maxReliefPerMove = MIN_RELIEF_PER_MOVE;
+		for (int to = from + 1; to < sequence.size(); to++) {
+			int moves = sequence.get(to).moves() - sequence.get(from).moves();
+			double reliefPerMove = (sequence.get(from).maxLoad() - sequence.get(to).maxLoad()) / moves;
+			if (reliefPerMove > maxReliefPerMove) {
+				maxReliefPerMove = reliefPerMove;
 				best = to;
 			}
 		}
 		return best;
 	}
 
-	private static List<Link> chain(LayerPlacement placement) {
-		List<Link> chain = new ArrayList<>();
-		chain.add(new Link(0, placement.maxLoad(), placement.toLists()));
-		addPackedAnew(chain, placement);
+	private static List<Candidate> sequence(LayerPlacement placement) {
+		List<Candidate> sequence = new ArrayList<>();
+		sequence.add(new Candidate(0, placement.maxLoad(), placement.toLists()));
+		addRepacked(sequence, placement);
 		int moves = 0;
-		for (int i = 0; i < MAX_CHAIN; i++) {
+		for (int i = 0; i < MAX_CHANGES; i++) {
 			Change change = Change.bestFor(placement);
 			if (change == null) {
 				break;
 			}
 			change.apply(placement);
 			moves += change.moves();
-			chain.add(new Link(moves, placement.maxLoad(), placement.toLists()));
+			sequence.add(new Candidate(moves, placement.maxLoad(), placement.toLists()));
 		}
-		chain.sort(Comparator.comparingInt(Link::moves));
-		return chain;
+		sequence.sort(Comparator.comparingInt(Candidate::moves));
+		return sequence;
 	}
 
-	// Packing anew escapes where no single change helps; it is one more link of the
-	// chain.
-	private static void addPackedAnew(List<Link> chain, LayerPlacement placement) {
+	// Repacking the whole layer helps where no single change does. It is added to the
+	// sequence as one more candidate.
+	private static void addRepacked(List<Candidate> sequence, LayerPlacement placement) {
 		List<List<Integer>> before = placement.toLists();
 		List<List<Integer>> packed = RankMatching.closest(before, FullReplan.pack(placement), placement.ranks());
 		int moves = RankMatching.moves(before, packed);
-		LayerPlacement loaded = placement.placed(packed);
+		LayerPlacement repacked = placement.withRanks(packed);
 		if (moves > 0) {
-			chain.add(new Link(moves, loaded.maxLoad(), packed));
+			sequence.add(new Candidate(moves, repacked.maxLoad(), packed));
 		}
 	}
 
 	/**
-	 * What loads are compared with.
+	 * Reference values to which loads are compared.
 	 *
-	 * @param meanOfAll the mean rank's load over all layers
-	 * @param relativeError how far an expert's demand may be off
+	 * @param sumOfMeans the sum of the mean rank loads of all layers
+	 * @param relativeError the relative error of the demand for an expert
 	 */
-	private record Scale(double meanOfAll, double relativeError) {
-
-		// The hottest rank is the highest of many, each off by some experts' errors.
-		private double noiseOf(LayerPlacement placement) {
-			int hot = placement.hottestRank();
-			double squares = 0;
-			for (int expert : placement.expertsOn(hot)) {
-				squares += Math.pow(placement.shareOf(expert), 2);
+	private record Scale(double sumOfMeans, double relativeError) {
+
+		// The hottest rank is the maximum of many ranks, each with the errors of its
+		// experts.
+		private double noiseThreshold(LayerPlacement placement) {
+			int hottest = placement.hottestRank();
+			double sumOfSquares = 0;
+			for (int expert : placement.expertsOn(hottest)) {
+				sumOfSquares += Math.pow(placement.shareOf(expert), 2);
 			}
-			return NOISE_SIGMAS * this.relativeError * Math.sqrt(squares);
+			return NOISE_SIGMAS * this.relativeError * Math.sqrt(sumOfSquares);
 		}
 
 	}
 
-	private record Link(int moves, double maxLoad, List<List<Integer>> result) {
+	private record Candidate(int moves, double maxLoad, List<List<Integer>> result) {
 	}
 
-	private record Stretch(int layer, int number, int moves, double gainPerMove, List<List<Integer>> result) {
+	private record Segment(int layer, int number, int moves, double gainPerMove, List<List<Integer>> result) {
 	}
 
 }
--- a/balance/src/main/java/org/snowwind/balance/plan/ExpertPlacement.java
+++ b/balance/src/main/java/org/snowwind/balance/plan/ExpertPlacement.java
@@ -6,27 +6,27 @@
 import java.util.Set;
 
 /**
- * Which ranks hold which experts, immutable.
+ * Immutable assignment of experts to ranks.
  *
- * @param ranks how many ranks the group has
- * @param slotsPerRank how many experts of one layer fit on a rank
- * @param ranksOf for each layer, for each expert, its ranks
+ * @param ranks the number of ranks in the group
+ * @param slotsPerRank the number of experts of one layer that fit on a rank
+ * @param ranksOf the ranks of each expert, by layer and expert
  */
 public record ExpertPlacement(int ranks, int slotsPerRank, List<List<List<Integer>>> ranksOf) {
 
 	/**
-	 * Copies the list.
+	 * Creates a placement with a copy of the list.
 	 */
 	public ExpertPlacement {
 		ranksOf = List.copyOf(ranksOf);
 	}
 
 	/**
-	 * Places experts by turns, with no knowledge of demand.
-	 * @param layers how many layers there are
-	 * @param experts how many experts each has
-	 * @param ranks how many ranks there are
-	 * @param slotsPerRank how many experts of one layer fit on a rank
+	 * Places experts on the ranks in turn, without regard to demand.
+	 * @param layers the number of layers
+	 * @param experts the number of experts in each layer
+	 * @param ranks the number of ranks
+	 * @param slotsPerRank the number of experts of one layer that fit on a rank
 	 * @return the placement, every slot in use
 	 */
 	public static ExpertPlacement byTurns(int layers, int experts, int ranks, int slotsPerRank) {
@@ -51,24 +51,25 @@
 	/**
 	 * Returns the step-time skew under a demand.
 	 * @param demand tokens by layer and expert
-	 * @return the slowest ranks' time over the mean, less 1
+	 * @return the sum over all layers of the highest rank load, divided by the sum of the
+	 * mean loads, minus 1
 	 */
 	public double skew(double[][] demand) {
 		double slowest = 0;
 		double mean = 0;
 		for (int layer = 0; layer < this.ranksOf.size(); layer++) {
-			LayerPlacement loaded = layer(layer, demand[layer]);
-			slowest += loaded.maxLoad();
-			mean += loaded.meanLoad();
+			LayerPlacement placement = layer(layer, demand[layer]);
+			slowest += placement.maxLoad();
+			mean += placement.meanLoad();
 		}
 		return (mean > 0) ? slowest / mean - 1 : 0;
 	}
 
 	/**
-	 * Counts the replicas that a rank must load to come from another placement to this
-	 * one.
+	 * Returns how many replicas the ranks must load to change from another placement to
+	 * this one.
 	 * @param before the other placement
-	 * @return how many expert weights are moved
+	 * @return the number of expert weights that are moved
 	 */
 	public int movesFrom(ExpertPlacement before) {
 		int moves = 0;
--- a/balance/src/main/java/org/snowwind/balance/plan/FullReplan.java
+++ b/balance/src/main/java/org/snowwind/balance/plan/FullReplan.java
@@ -7,8 +7,8 @@
 import java.util.List;
 
 /**
- * The published baseline: replicate the hottest experts, then pack the largest first,
- * anew each time.
+ * Published baseline that plans from scratch each time: it replicates the hottest experts
+ * and then packs the replicas, the most loaded first.
  */
 public final class FullReplan implements MapPlanner {
 
@@ -55,8 +55,8 @@
 		for (int extra = demand.length; extra < ranks * slots; extra++) {
 			int hottest = -1;
 			for (int expert = 0; expert < demand.length; expert++) {
-				boolean roomLeft = replicas[expert] < ranks;
-				if (roomLeft
+				boolean canReplicate = replicas[expert] < ranks;
+				if (canReplicate
 						&& (hottest < 0 || demand[expert] / replicas[expert] > demand[hottest] / replicas[hottest])) {
 					hottest = expert;
 				}
--- a/balance/src/main/java/org/snowwind/balance/plan/IncrementalPlanner.java
+++ b/balance/src/main/java/org/snowwind/balance/plan/IncrementalPlanner.java
@@ -4,12 +4,12 @@
 import java.util.List;
 
 /**
- * Takes the changes that relieve the hottest ranks most, as long as no rank has to copy
- * more than a few experts.
+ * Makes the changes that relieve the hottest ranks most, within limits on how many
+ * experts a rank must copy.
  *
  * <p>
- * Where demand moves within seconds, a plan is worth only what is in force soon: a few
- * good changes now, and the next few with the next plan.
+ * If demand changes within seconds, a plan is only useful if it takes effect soon. This
+ * planner therefore makes a few good changes, and leaves further ones to the next plan.
  */
 public final class IncrementalPlanner {
 
@@ -17,7 +17,7 @@
 
 	/**
 	 * Creates the planner.
-	 * @param caps how much one plan may change
+	 * @param caps the limits on the changes of one plan
 	 */
 	public IncrementalPlanner(Caps caps) {
 		this.caps = caps;
@@ -26,7 +26,7 @@
 	/**
 	 * Plans the next placement.
 	 * @param current the placement in force
-	 * @param demand what each expert is asked for, by layer and expert
+	 * @param demand the demand for each expert, by layer and expert
 	 * @return the next placement, which may be the current one
 	 */
 	public ExpertPlacement plan(ExpertPlacement current, double[][] demand) {
@@ -34,96 +34,97 @@
 		for (int layer = 0; layer < demand.length; layer++) {
 			layers.add(current.layer(layer, demand[layer]));
 		}
-		CopyLedger ledger = new CopyLedger(this.caps, layers.size(), current.ranks());
+		CopyCounts copyCounts = new CopyCounts(this.caps, layers.size(), current.ranks());
 		double leastRelief = this.caps.leastRelief() * layers.stream().mapToDouble(LayerPlacement::meanLoad).sum();
-		List<Found> found = new ArrayList<>();
+		List<BestChange> bestChanges = new ArrayList<>();
 		for (int layer = 0; layer < layers.size(); layer++) {
-			found.add(search(layers, layer, ledger));
+			bestChanges.add(search(layers, layer, copyCounts));
 		}
-		while (takeBest(layers, found, ledger, leastRelief)) {
-			renew(layers, found, ledger);
+		while (applyBest(layers, bestChanges, copyCounts, leastRelief)) {
+			replaceDisallowedChanges(layers, bestChanges, copyCounts);
 		}
 		return new ExpertPlacement(current.ranks(), current.slotsPerRank(),
 				layers.stream().map(LayerPlacement::toLists).toList());
 	}
 
-	private static Found search(List<LayerPlacement> layers, int layer, CopyLedger ledger) {
+	private static BestChange search(List<LayerPlacement> layers, int layer, CopyCounts copyCounts) {
 		LayerPlacement placement = layers.get(layer);
-		Change change = Change.bestFor(placement, (rank) -> ledger.mayCopy(layer, rank));
-		return (change != null) ? new Found(change, reliefOf(placement, change)) : Found.NOTHING;
+		Change change = Change.bestFor(placement, (rank) -> copyCounts.mayCopy(layer, rank));
+		return (change != null) ? new BestChange(change, reliefOf(placement, change)) : BestChange.NONE;
 	}
 
-	private static boolean takeBest(List<LayerPlacement> layers, List<Found> found, CopyLedger ledger,
+	private static boolean applyBest(List<LayerPlacement> layers, List<BestChange> bestChanges, CopyCounts copyCounts,
 			double leastRelief) {
 		int bestLayer = -1;
 		double bestRelief = leastRelief;
 		for (int layer = 0; layer < layers.size(); layer++) {
-			if (found.get(layer).relief() > bestRelief) {
+			if (bestChanges.get(layer).relief() > bestRelief) {
 				bestLayer = layer;
-				bestRelief = found.get(layer).relief();
+				bestRelief = bestChanges.get(layer).relief();
 			}
 		}
 		if (bestLayer < 0) {
 			return false;
 		}
-		Change best = found.get(bestLayer).change();
+		Change best = bestChanges.get(bestLayer).change();
 		best.apply(layers.get(bestLayer));
-		ledger.copied(bestLayer, best.cold());
-		if (best.displacedGoesHot()) {
-			ledger.copied(bestLayer, best.hot());
+		copyCounts.recordCopy(bestLayer, best.cold());
+		if (best.displacedMovesToHot()) {
+			copyCounts.recordCopy(bestLayer, best.hot());
 		}
-		found.set(bestLayer, search(layers, bestLayer, ledger));
+		bestChanges.set(bestLayer, search(layers, bestLayer, copyCounts));
 		return true;
 	}
 
-	// A change of another layer stays the best of its layer unless its copies are no
-	// longer allowed.
-	private static void renew(List<LayerPlacement> layers, List<Found> found, CopyLedger ledger) {
+	// The best change of another layer remains the best of that layer unless its copies
+	// would now exceed a limit.
+	private static void replaceDisallowedChanges(List<LayerPlacement> layers, List<BestChange> bestChanges,
+			CopyCounts copyCounts) {
 		for (int layer = 0; layer < layers.size(); layer++) {
-			Change change = found.get(layer).change();
-			boolean stands = change == null || (ledger.mayCopy(layer, change.cold())
-					&& (!change.displacedGoesHot() || ledger.mayCopy(layer, change.hot())));
-			if (!stands) {
-				found.set(layer, search(layers, layer, ledger));
+			Change change = bestChanges.get(layer).change();
+			boolean stillAllowed = change == null || (copyCounts.mayCopy(layer, change.cold())
+					&& (!change.displacedMovesToHot() || copyCounts.mayCopy(layer, change.hot())));
+			if (!stillAllowed) {
+				bestChanges.set(layer, search(layers, layer, copyCounts));
 			}
 		}
 	}
 
 	private static double reliefOf(LayerPlacement placement, Change change) {
 		double before = placement.load(change.hot());
-		LayerPlacement after = placement.placed(placement.toLists());
+		LayerPlacement after = placement.withRanks(placement.toLists());
 		change.apply(after);
 		return (before - Math.max(after.load(change.hot()), after.load(change.cold()))) / change.moves();
 	}
 
 	/**
-	 * How much one plan may change.
+	 * Limits on the changes of one plan.
 	 *
-	 * @param newPerLayer how many experts of one layer may be new to a rank
-	 * @param newPerRank how many experts of all layers may be new to a rank
-	 * @param leastRelief by how much a copy must relieve the hottest rank of a layer, in
-	 * parts of the mean load of all layers
+	 * @param newPerLayer the maximum number of experts of one layer that a rank must copy
+	 * @param newPerRank the maximum number of experts of all layers that a rank must copy
+	 * @param leastRelief the amount by which a copy must relieve the hottest rank of a
+	 * layer, as a fraction of the sum of the mean rank loads of all layers
 	 */
 	public record Caps(int newPerLayer, int newPerRank, double leastRelief) {
 
 	}
 
 	/**
-	 * The best change of a layer.
+	 * Best change of a layer.
 	 *
 	 * @param change the change, {@code null} if there is none
-	 * @param relief by how much each of its copies relieves the hottest rank
+	 * @param relief the relief of the hottest rank per copy
 	 */
-	private record Found(Change change, double relief) {
+	private record BestChange(Change change, double relief) {
 
-		private static final Found NOTHING = new Found(null, 0);
+		private static final BestChange NONE = new BestChange(null, 0);
 
 	}
 
 	/**
-	 * Counts what each rank has to copy.
+	 * Counts the experts that each rank has to copy.
 	 */
-	private static final class CopyLedger {
+	private static final class CopyCounts {
 
 		private final Caps caps;
 
@@ -131,7 +132,7 @@
 
 		private final int[] byRank;
 
-		private CopyLedger(Caps caps, int layers, int ranks) {
+		private CopyCounts(Caps caps, int layers, int ranks) {
 			this.caps = caps;
 			this.byLayer = new int[layers][ranks];
 			this.byRank = new int[ranks];
@@ -141,7 +142,7 @@
 			return this.byLayer[layer][rank] < this.caps.newPerLayer() && this.byRank[rank] < this.caps.newPerRank();
 		}
 
-		private void copied(int layer, int rank) {
+		private void recordCopy(int layer, int rank) {
 			this.byLayer[layer][rank]++;
 			this.byRank[rank]++;
 		}
--- a/balance/src/main/java/org/snowwind/balance/plan/LayerPlacement.java
+++ b/balance/src/main/java/org/snowwind/balance/plan/LayerPlacement.java
@@ -5,8 +5,8 @@
 import java.util.List;
 
 /**
- * Which ranks hold which experts of one layer, with the load of each rank. Changeable,
- * for planning; an expert's demand is shared evenly by its replicas.
+ * Mutable assignment of the experts of one layer to ranks, with the load of each rank,
+ * for use while planning. The demand for an expert is shared evenly by its replicas.
  */
 final class LayerPlacement {
 
@@ -23,11 +23,11 @@
 	private final double[] loads;
 
 	/**
-	 * Copies a placement and loads it with a demand.
-	 * @param ranksOfExpert for each expert its ranks
-	 * @param ranks how many ranks there are
-	 * @param slots how many experts fit on a rank
-	 * @param demand the demand of each expert
+	 * Copies a placement and computes the rank loads for a demand.
+	 * @param ranksOfExpert the ranks of each expert
+	 * @param ranks the number of ranks
+	 * @param slots the number of experts that fit on a rank
+	 * @param demand the demand for each expert
 	 */
 	LayerPlacement(List<List<Integer>> ranksOfExpert, int ranks, int slots, double[] demand) {
 		int experts = ranksOfExpert.size();
@@ -45,11 +45,11 @@
 	}
 
 	/**
-	 * Loads another placement with the same demand.
-	 * @param ranksOfExpert for each expert its ranks
+	 * Creates another placement with the same demand.
+	 * @param ranksOfExpert the ranks of each expert
 	 * @return the other placement
 	 */
-	LayerPlacement placed(List<List<Integer>> ranksOfExpert) {
+	LayerPlacement withRanks(List<List<Integer>> ranksOfExpert) {
 		return new LayerPlacement(ranksOfExpert, this.loads.length, this.slots, this.demand);
 	}
 
@@ -62,32 +62,32 @@
 	}
 
 	/**
-	 * Puts a replica on a rank.
+	 * Adds a replica of an expert to a rank.
 	 * @param expert the expert
-	 * @param rank the rank, which must have a free slot and not hold it yet
+	 * @param rank the rank, which must have a free slot and no replica of the expert
 	 */
 	void add(int expert, int rank) {
-		spread(expert, -1);
+		addShares(expert, -1);
 		this.holds[expert][rank] = true;
 		this.replicas[expert]++;
 		this.used[rank]++;
-		spread(expert, 1);
+		addShares(expert, 1);
 	}
 
 	/**
-	 * Takes a replica off a rank.
+	 * Removes a replica of an expert from a rank.
 	 * @param expert the expert
-	 * @param rank the rank that holds it
+	 * @param rank the rank that holds the replica
 	 */
 	void remove(int expert, int rank) {
-		spread(expert, -1);
+		addShares(expert, -1);
 		this.holds[expert][rank] = false;
 		this.replicas[expert]--;
 		this.used[rank]--;
-		spread(expert, 1);
+		addShares(expert, 1);
 	}
 
-	private void spread(int expert, int sign) {
+	private void addShares(int expert, int sign) {
 		if (this.replicas[expert] == 0) {
 			return;
 		}
--- a/balance/src/main/java/org/snowwind/balance/plan/MapPlanner.java
+++ b/balance/src/main/java/org/snowwind/balance/plan/MapPlanner.java
@@ -7,12 +7,12 @@
 public interface MapPlanner {
 
 	/**
-	 * Plans.
+	 * Plans the next placement.
 	 * @param current the placement in force
 	 * @param demand the expected tokens by layer and expert
-	 * @param relativeError how far an expert's demand may be off, relative to it
-	 * @param maxMoves how many experts the weight store can deliver until the next plan
-	 * @return the next placement, the same object if nothing should be moved
+	 * @param relativeError the error of the demand for an expert, relative to that demand
+	 * @param maxMoves how many experts the weight store can deliver before the next plan
+	 * @return the next placement, the same object if no expert should be moved
 	 */
 	ExpertPlacement plan(ExpertPlacement current, double[][] demand, double relativeError, int maxMoves);
 
--- a/balance/src/main/java/org/snowwind/balance/plan/NeverMove.java
+++ b/balance/src/main/java/org/snowwind/balance/plan/NeverMove.java
@@ -1,7 +1,7 @@
 package org.snowwind.balance.plan;
 
 /**
- * The baseline that never moves anything.
+ * Baseline that never moves an expert.
  */
 public final class NeverMove implements MapPlanner {
 
--- a/balance/src/main/java/org/snowwind/balance/plan/RankMatching.java
+++ b/balance/src/main/java/org/snowwind/balance/plan/RankMatching.java
@@ -4,7 +4,8 @@
 import java.util.List;
 
 /**
- * Renumbers the ranks of a new placement so that little has to be moved from an old one.
+ * Renumbers the ranks of a new placement so that few experts must be moved from an old
+ * one.
  */
 final class RankMatching {
 
@@ -12,46 +13,47 @@
 	}
 
 	/**
-	 * Gives each new rank the number of the old rank that holds most of its experts.
-	 * @param before for each expert its old ranks
-	 * @param after for each expert its new ranks
-	 * @param ranks how many ranks there are
+	 * Matches new ranks to old ranks greedily, pairs with the most common experts first,
+	 * and gives each new rank the number of its old rank.
+	 * @param before the old ranks of each expert
+	 * @param after the new ranks of each expert
+	 * @param ranks the number of ranks
 	 * @return the new placement, renumbered
 	 */
 	static List<List<Integer>> closest(List<List<Integer>> before, List<List<Integer>> after, int ranks) {
-		int[][] common = common(before, after, ranks);
+		int[][] commonExperts = commonExperts(before, after, ranks);
 		int[] numberOf = new int[ranks];
-		boolean[] named = new boolean[ranks];
-		boolean[] taken = new boolean[ranks];
+		boolean[] matchedNew = new boolean[ranks];
+		boolean[] matchedOld = new boolean[ranks];
 		for (int round = 0; round < ranks; round++) {
 			int bestNew = -1;
 			int bestOld = -1;
 			for (int newRank = 0; newRank < ranks; newRank++) {
-				for (int oldRank = 0; oldRank < ranks && !named[newRank]; oldRank++) {
-					boolean better = bestNew < 0 || common[newRank][oldRank] > common[bestNew][bestOld];
-					if (!taken[oldRank] && better) {
+				for (int oldRank = 0; oldRank < ranks && !matchedNew[newRank]; oldRank++) {
+					boolean better = bestNew < 0 || commonExperts[newRank][oldRank] > commonExperts[bestNew][bestOld];
+					if (!matchedOld[oldRank] && better) {
 						bestNew = newRank;
 						bestOld = oldRank;
 					}
 				}
 			}
 			numberOf[bestNew] = bestOld;
-			named[bestNew] = true;
-			taken[bestOld] = true;
+			matchedNew[bestNew] = true;
+			matchedOld[bestOld] = true;
 		}
 		return renumber(after, numberOf);
 	}
 
-	private static int[][] common(List<List<Integer>> before, List<List<Integer>> after, int ranks) {
-		int[][] common = new int[ranks][ranks];
+	private static int[][] commonExperts(List<List<Integer>> before, List<List<Integer>> after, int ranks) {
+		int[][] commonExperts = new int[ranks][ranks];
 		for (int expert = 0; expert < after.size(); expert++) {
 			for (int newRank : after.get(expert)) {
 				for (int oldRank : before.get(expert)) {
-					common[newRank][oldRank]++;
+					commonExperts[newRank][oldRank]++;
 				}
 			}
 		}
-		return common;
+		return commonExperts;
 	}
 
 	private static List<List<Integer>> renumber(List<List<Integer>> after, int[] numberOf) {
@@ -63,10 +65,10 @@
 	}
 
 	/**
-	 * Counts the replicas that must be loaded.
-	 * @param before for each expert its old ranks
-	 * @param after for each expert its new ranks
-	 * @return how many experts are moved
+	 * Returns the number of replicas that must be loaded.
+	 * @param before the old ranks of each expert
+	 * @param after the new ranks of each expert
+	 * @return the number of experts that are moved
 	 */
 	static int moves(List<List<Integer>> before, List<List<Integer>> after) {
 		int moves = 0;
--- a/balance/src/main/java/org/snowwind/balance/plan/ThresholdReplan.java
+++ b/balance/src/main/java/org/snowwind/balance/plan/ThresholdReplan.java
@@ -1,7 +1,7 @@
 package org.snowwind.balance.plan;
 
 /**
- * The baseline that plans anew whenever the skew exceeds a threshold.
+ * Baseline that plans from scratch whenever the skew exceeds a threshold.
  */
 public final class ThresholdReplan implements MapPlanner {
 
@@ -11,7 +11,7 @@
 
 	/**
 	 * Creates the planner.
-	 * @param threshold the skew above which it plans anew
+	 * @param threshold the skew above which it plans from scratch
 	 */
 	public ThresholdReplan(double threshold) {
 		this.threshold = threshold;
--- a/balance/src/main/java/org/snowwind/balance/plan/package-info.java
+++ b/balance/src/main/java/org/snowwind/balance/plan/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Which ranks should hold which experts, and what it costs to get there.
+ * Plans which ranks hold which experts, and computes the cost of getting there.
  */
 package org.snowwind.balance.plan;
--- a/balance/src/test/java/org/snowwind/balance/demand/DemandEstimateTests.java
+++ b/balance/src/test/java/org/snowwind/balance/demand/DemandEstimateTests.java
@@ -20,21 +20,21 @@
 	}
 
 	@Test
-	void noiseIsAveragedAway() {
+	void noiseIsAveragedOut() {
 		observe(200, 100);
 		assertThat(this.estimate.expected()[0][0]).isCloseTo(100, within(4.0));
 		assertThat(this.estimate.relativeError()).isLessThan(0.04);
 	}
 
 	@Test
-	void aChangeIsFollowedWithinAFewPeriods() {
+	void lastingChangeIsFollowedWithinTwelvePeriods() {
 		observe(200, 100);
 		observe(12, 300);
 		assertThat(this.estimate.expected()[0][0]).isGreaterThan(240);
 	}
 
 	@Test
-	void aGapChangesNothing() {
+	void gapDoesNotChangeTheEstimate() {
 		observe(50, 100);
 		double before = this.estimate.expected()[0][0];
 		this.estimate.observe(new double[][] { null });
--- a/balance/src/test/java/org/snowwind/balance/handover/SwitchTests.java
+++ b/balance/src/test/java/org/snowwind/balance/handover/SwitchTests.java
@@ -16,11 +16,13 @@
 
 	private static final int RANKS = 3;
 
-	/** Enough for an owner to come to its last phase and for another to meet it there. */
+	/**
+	 * Enough for one owner to reach its last phase and for another to interfere with it.
+	 */
 	private static final int EVENTS = 1200;
 
 	@Test
-	void aRankStallsAtABoundStepUntilItIsConfirmed() {
+	void rankStallsAtTheBoundStepUntilTheBindIsConfirmed() {
 		RankSwitch rank = new RankSwitch(0, 1);
 		rank.on(new RankOrder.Bind(5, 2, 1));
 		assertThat(rank.runStep()).isEqualTo(1);
@@ -30,7 +32,7 @@
 	}
 
 	@Test
-	void aRankRefusesLowerBallots() {
+	void rankRejectsLowerBallots() {
 		RankSwitch rank = new RankSwitch(0, 1);
 		rank.on(new RankOrder.Bind(5, 2, 3));
 		rank.on(new RankOrder.Ask(6));
@@ -39,7 +41,7 @@
 	}
 
 	@Test
-	void aBindThatComesTooLateIsNotTaken() {
+	void bindToTheNextStepIsRejected() {
 		RankSwitch rank = new RankSwitch(0, 1);
 		rank.runStep();
 		rank.runStep();
@@ -48,7 +50,7 @@
 	}
 
 	@Test
-	void whatIsConfirmedIsNeverAborted() {
+	void confirmedBindIsNeverAborted() {
 		RankSwitch rank = new RankSwitch(0, 1);
 		rank.on(new RankOrder.Bind(5, 2, 3));
 		rank.on(new RankOrder.Confirm(5, 5));
@@ -57,19 +59,19 @@
 	}
 
 	@Property(seed = "20261202", tries = 4000)
-	void noStepMixesMapsAndTheGroupGoesOnOnceFaultsEnd(@ForAll long seed) {
+	void noStepMixesMapsAndTheSwitchCompletesOnceFaultsEnd(@ForAll long seed) {
 		Group group = new Group(seed);
 		for (int i = 0; i < EVENTS; i++) {
-			group.anything();
+			group.randomEvent();
 		}
-		group.faultsEnd();
+		group.completeWithoutFaults();
 		assertThat(group.mixedSteps()).isEmpty();
 		assertThat(group.ranks).allMatch((rank) -> rank.state().generation() == 2);
 	}
 
 	/**
-	 * Ranks in lock-step, two owners, and a network that loses, doubles, delays and
-	 * reorders.
+	 * Simulates ranks in lock-step, up to three owners, and a network that loses,
+	 * duplicates, delays and reorders messages.
 	 */
 	private static final class Group {
 
@@ -79,7 +81,7 @@
 
 		private final List<SwitchOwner> owners = new ArrayList<>();
 
-		private final List<Runnable> underWay = new ArrayList<>();
+		private final List<Runnable> inFlight = new ArrayList<>();
 
 		private final Map<Long, List<Long>> generationsOfStep = new HashMap<>();
 
@@ -91,9 +93,9 @@
 			this.owners.add(new SwitchOwner(RANKS, 1, 2, 1 + this.random.nextInt(3)));
 		}
 
-		private void anything() {
+		private void randomEvent() {
 			switch (this.random.nextInt(8)) {
-				case 0, 1, 2 -> send(pick(this.owners));
+				case 0, 1, 2 -> send(randomOf(this.owners));
 				case 3, 4, 5 -> deliver();
 				case 6 -> step(this.random.nextInt(RANKS));
 				default -> rareEvent();
@@ -101,12 +103,12 @@
 		}
 
 		private void rareEvent() {
-			int dice = this.random.nextInt(10);
-			if (dice == 0 && this.owners.size() < 3 && this.random.nextInt(4) == 0) {
+			int draw = this.random.nextInt(10);
+			if (draw == 0 && this.owners.size() < 3 && this.random.nextInt(4) == 0) {
 				this.owners.add(new SwitchOwner(RANKS, this.owners.size() + 1, 2, 1 + this.random.nextInt(3)));
 			}
-			else if (dice == 1 && this.random.nextInt(6) == 0) {
-				pick(this.owners).tryAgain();
+			else if (draw == 1 && this.random.nextInt(6) == 0) {
+				randomOf(this.owners).tryAgain();
 			}
 			else {
 				step(this.random.nextInt(RANKS));
@@ -115,38 +117,38 @@
 
 		private void send(SwitchOwner owner) {
 			int rank = this.random.nextInt(RANKS);
-			owner.orderFor(rank).ifPresent((order) -> this.underWay.add(() -> arrive(owner, rank, order)));
+			owner.orderFor(rank).ifPresent((order) -> this.inFlight.add(() -> execute(owner, rank, order)));
 		}
 
-		private void arrive(SwitchOwner owner, int rank, RankOrder order) {
+		private void execute(SwitchOwner owner, int rank, RankOrder order) {
 			RankState answer = this.ranks.get(rank).on(order);
-			this.underWay.add(() -> owner.on(answer));
+			this.inFlight.add(() -> owner.on(answer));
 		}
 
 		private void deliver() {
-			if (this.underWay.isEmpty()) {
+			if (this.inFlight.isEmpty()) {
 				return;
 			}
-			int place = this.random.nextInt(this.underWay.size());
+			int index = this.random.nextInt(this.inFlight.size());
 			switch (this.random.nextInt(12)) {
-				case 0 -> this.underWay.remove(place);
-				case 1 -> this.underWay.get(place).run();
-				default -> this.underWay.remove(place).run();
+				case 0 -> this.inFlight.remove(index);
+				case 1 -> this.inFlight.get(index).run();
+				default -> this.inFlight.remove(index).run();
 			}
 		}
 
-		// A rank runs a step only when all ranks have ended the one before.
+		// A rank runs a step only when all ranks have finished the previous one.
 		private void step(int number) {
 			RankSwitch rank = this.ranks.get(number);
 			long next = rank.state().nextStep();
-			boolean othersThere = this.ranks.stream().allMatch((other) -> other.state().nextStep() >= next);
-			if (othersThere && rank.generationOfNextStep() != RankSwitch.STALL) {
+			boolean othersReachedStep = this.ranks.stream().allMatch((other) -> other.state().nextStep() >= next);
+			if (othersReachedStep && rank.generationOfNextStep() != RankSwitch.STALL) {
 				this.generationsOfStep.computeIfAbsent(next, (key) -> new ArrayList<>()).add(rank.runStep());
 			}
 		}
 
-		private void faultsEnd() {
-			this.underWay.clear();
+		private void completeWithoutFaults() {
+			this.inFlight.clear();
 			SwitchOwner last = new SwitchOwner(RANKS, 9, 2, 2);
 			for (int round = 0; round < 400; round++) {
 				for (int rank = 0; rank < RANKS; rank++) {
@@ -170,7 +172,7 @@
 				.toList();
 		}
 
-		private <T> T pick(List<T> from) {
+		private <T> T randomOf(List<T> from) {
 			return from.get(this.random.nextInt(from.size()));
 		}
 
--- a/balance/src/test/java/org/snowwind/balance/plan/IncrementalPlannerTests.java
+++ b/balance/src/test/java/org/snowwind/balance/plan/IncrementalPlannerTests.java
@@ -46,7 +46,7 @@
 	}
 
 	@Property(tries = 100)
-	void noRankCopiesOrHoldsMoreThanAllowed(@ForAll Random random, @ForAll @IntRange(min = 1, max = 4) int perLayer,
+	void noRankExceedsItsCopyLimitsOrItsSlots(@ForAll Random random, @ForAll @IntRange(min = 1, max = 4) int perLayer,
 			@ForAll @IntRange(min = 1, max = 6) int perRank) {
 		IncrementalPlanner planner = new IncrementalPlanner(new IncrementalPlanner.Caps(perLayer, perRank, 0));
 		ExpertPlacement plan = planner.plan(START, demand(random));
@@ -65,14 +65,14 @@
 	}
 
 	@Property(tries = 100)
-	void aPlanIsNeverWorse(@ForAll Random random) {
+	void planNeverIncreasesTheSkew(@ForAll Random random) {
 		double[][] demand = demand(random);
 		ExpertPlacement plan = new IncrementalPlanner(new IncrementalPlanner.Caps(4, 4, 0)).plan(START, demand);
 		assertThat(plan.skew(demand)).isLessThanOrEqualTo(START.skew(demand) + 1e-9);
 	}
 
 	@Test
-	void aSkewedDemandIsRelievedWithAFewCopies() {
+	void fewCopiesReduceTheSkewOfASkewedDemand() {
 		double[][] demand = new double[LAYERS][EXPERTS];
 		for (double[] layer : demand) {
 			java.util.Arrays.fill(layer, 1);
@@ -83,7 +83,7 @@
 	}
 
 	@Test
-	void whatRelievesTooLittleIsNotCopied() {
+	void copiesWithTooLittleReliefAreNotMade() {
 		double[][] even = new double[LAYERS][EXPERTS];
 		for (double[] layer : even) {
 			java.util.Arrays.fill(layer, 1);
--- a/balance/src/test/java/org/snowwind/balance/plan/PlannerTests.java
+++ b/balance/src/test/java/org/snowwind/balance/plan/PlannerTests.java
@@ -42,14 +42,15 @@
 	}
 
 	@Property(seed = "20261202")
-	void aPlanNeverCostsMoreThanDoingNothing(@ForAll long seed, @ForAll @IntRange(min = 1, max = 5000) int moveWeight) {
+	void planNeverCostsMoreThanMakingNoChange(@ForAll long seed,
+			@ForAll @IntRange(min = 1, max = 5000) int moveWeight) {
 		BalanceCost cost = cost(moveWeight);
 		ExpertPlacement plan = new CostAwarePlanner(cost).plan(START, demand(seed), 0, 1000);
 		assertThat(total(cost, plan, demand(seed))).isLessThanOrEqualTo(total(cost, START, demand(seed)) + 1e-6);
 	}
 
 	@Property(seed = "20261202")
-	void everyExpertHasAReplicaAndNoRankTooMany(@ForAll long seed) {
+	void everyExpertHasAReplicaAndNoRankExceedsItsSlots(@ForAll long seed) {
 		for (MapPlanner planner : List.of(new CostAwarePlanner(cost(1)), new FullReplan())) {
 			ExpertPlacement plan = planner.plan(START, demand(seed), 0, 1000);
 			for (List<List<Integer>> layer : plan.ranksOf()) {
@@ -62,26 +63,26 @@
 	}
 
 	@Property(seed = "20261202")
-	void noMoreIsMovedThanTheWeightStoreDelivers(@ForAll long seed, @ForAll @IntRange(max = 10) int maxMoves) {
+	void movesDoNotExceedTheLimitOfTheWeightStore(@ForAll long seed, @ForAll @IntRange(max = 10) int maxMoves) {
 		ExpertPlacement plan = new CostAwarePlanner(cost(0.001)).plan(START, demand(seed), 0, maxMoves);
 		assertThat(plan.movesFrom(START)).isLessThanOrEqualTo(maxMoves);
 	}
 
 	@Test
-	void whenMovesAreDearNothingMoves() {
+	void nothingIsMovedWhenMovesAreExpensive() {
 		assertThat(new CostAwarePlanner(cost(1e9)).plan(START, demand(1), 0, 1000)).isSameAs(START);
 	}
 
 	@Test
-	void whenMovesAreCheapTheSkewComesNearTheFullReplans() {
+	void skewIsCloseToAFullReplanWhenMovesAreCheap() {
 		double[][] demand = demand(1);
-		double ours = new CostAwarePlanner(cost(1e-6)).plan(START, demand, 0, 1000).skew(demand);
+		double costAware = new CostAwarePlanner(cost(1e-6)).plan(START, demand, 0, 1000).skew(demand);
 		double full = new FullReplan().plan(START, demand, 0, 1000).skew(demand);
-		assertThat(ours).isLessThan(START.skew(demand) / 2).isLessThan(full * 1.5 + 0.1);
+		assertThat(costAware).isLessThan(START.skew(demand) / 2).isLessThan(full * 1.5 + 0.1);
 	}
 
 	@Test
-	void whatCannotBeToldFromNoiseIsNotChased() {
+	void demandChangesWithinTheNoiseMoveNothing() {
 		ExpertPlacement settled = new CostAwarePlanner(cost(1e-6)).plan(START, demand(1), 0, 1000);
 		double[][] noisy = demand(1);
 		for (double[] layer : noisy) {
@@ -92,7 +93,7 @@
 	}
 
 	@Test
-	void noDemandMovesNothing() {
+	void nothingIsMovedWithoutDemand() {
 		assertThat(new CostAwarePlanner(cost(1)).plan(START, new double[LAYERS][EXPERTS], 0, 1000)).isSameAs(START);
 	}
 
--- a/decide/src/main/java/org/snowwind/decide/blame/Blame.java
+++ b/decide/src/main/java/org/snowwind/decide/blame/Blame.java
@@ -8,54 +8,57 @@
 import java.util.Set;
 
 /**
- * Decides which requests end the servers that run them.
+ * Identifies the requests that end the servers that run them.
  *
  * <p>
- * The end of a server breaks all requests that it has, and only one of them may be its
- * cause. That one was at every server that it ended; another request was at a few of them
- * by chance, for instance since both were sent again to the same server. So requests are
- * blamed from the one with the most ends downwards, and ends that a blamed request
- * explains speak against no other. A request to which another one comes close, at mostly
- * the same ends, is blamed only once one of them goes ahead, or both go on.
+ * When a server ends, all its requests fail, although only one of them may be the cause.
+ * The cause was at every server that it ended. Another request was at a few of them by
+ * chance, for instance because both were retried on the same server. Requests are
+ * therefore blamed in descending order of their number of ends, and an end that a blamed
+ * request explains no longer counts against other requests. If another request has at
+ * least as many ends and shares more than half of them, a request is blamed only once it
+ * has more ends than the other, or once both have {@link #SHARED_ENDS}.
  *
  * <p>
- * Load answered: one caller or a few that send a request again and again which ends each
- * server that runs it, beside others whose requests break with the same servers, and
- * servers that end by themselves. {@code BlameTests} plays that and counts what is blamed
- * falsely.
+ * The rules are made for one or a few callers that repeatedly send a request which ends
+ * each server that runs it, while requests of other callers fail on the same servers and
+ * some servers end for other reasons. {@code BlameTests} simulates this and counts the
+ * requests that are blamed falsely.
  */
 public final class Blame {
 
 	/**
-	 * So many servers have ended under a request before it is blamed. With two, others
-	 * that were sent again to the same server as the cause are blamed with it; each more
-	 * costs all callers another server for seconds.
+	 * The number of ends from which on a request is blamed. With two, requests that were
+	 * retried on the same server as the cause would be blamed with it. Each additional
+	 * end costs all callers another server for seconds.
 	 */
 	public static final int ENDS = 3;
 
 	/**
-	 * From so many ends on, all that come close to each other are blamed, since a cause
-	 * that goes on costs everybody more than an innocent request that is refused.
+	 * The number of ends from which on requests that cannot be told apart are all blamed.
+	 * A cause that continues to end servers costs all callers more than an innocent
+	 * request that is rejected.
 	 */
 	public static final int SHARED_ENDS = 5;
 
 	/**
-	 * From so many ends on an answer clears a request of them; one end alone blames
-	 * nobody, and nearly all requests that were at an end are answered soon.
+	 * The number of ends from which on an answer clears a request of its ends. A single
+	 * end blames no request, and nearly all requests that were at an end are answered
+	 * soon afterwards, so there is no need to clear them earlier.
 	 */
 	public static final int CLEARED_ENDS = 2;
 
 	private final Map<String, Set<String>> unexplained = new HashMap<>();
 
-	/** The same with ends of requests that were answered later. */
-	private final Map<String, Set<String>> unexplainedEver = new HashMap<>();
+	/** Unexplained ends, including those that an answer cleared later. */
+	private final Map<String, Set<String>> endsIncludingCleared = new HashMap<>();
 
 	private final Set<String> blamed = new LinkedHashSet<>();
 
 	private Blame(Collection<ServerEnd> ends, Collection<ServerEnd> cleared) {
 		ends.forEach((end) -> add(this.unexplained, end));
-		ends.forEach((end) -> add(this.unexplainedEver, end));
-		cleared.forEach((end) -> add(this.unexplainedEver, end));
+		ends.forEach((end) -> add(this.endsIncludingCleared, end));
+		cleared.forEach((end) -> add(this.endsIncludingCleared, end));
 	}
 
 	private static void add(Map<String, Set<String>> serversByRequest, ServerEnd end) {
@@ -63,29 +66,29 @@
 	}
 
 	/**
-	 * Decides.
-	 * @param ends what speaks against requests
-	 * @param cleared what spoke against requests until they were answered
+	 * Returns the requests to blame.
+	 * @param ends the ends that count against requests
+	 * @param cleared the ends that counted against requests until these were answered
 	 * @return the digests of the requests to blame
 	 */
 	public static Set<String> of(Collection<ServerEnd> ends, Collection<ServerEnd> cleared) {
 		Blame blame = new Blame(ends, cleared);
 		Set<String> next = blame.next();
 		while (!next.isEmpty()) {
-			blame.take(next);
+			blame.accuse(next);
 			next = blame.next();
 		}
 		return Set.copyOf(blame.blamed);
 	}
 
-	// Those with the most ends that nothing explains, if they are to blame.
+	// Returns the requests with the most unexplained ends if they are to be blamed.
 	private Set<String> next() {
-		int most = this.unexplained.values().stream().mapToInt(Set::size).max().orElse(0);
+		int maxEnds = this.unexplained.values().stream().mapToInt(Set::size).max().orElse(0);
 		Set<String> next = new HashSet<>();
-		if (most >= ENDS) {
+		if (maxEnds >= ENDS) {
 			this.unexplained.forEach((request, servers) -> {
-				if (servers.size() == most && most >= ENDS + moreForNoise(servers)
-						&& (most >= SHARED_ENDS || !contested(request, servers))) {
+				if (servers.size() == maxEnds && maxEnds >= ENDS + extraEndsForNoise(servers)
+						&& (maxEnds >= SHARED_ENDS || !isContested(request, servers))) {
 					next.add(request);
 				}
 			});
@@ -93,16 +96,16 @@
 		return next;
 	}
 
-	private void take(Set<String> requests) {
+	private void accuse(Set<String> requests) {
 		Set<String> explained = new HashSet<>();
 		requests.forEach((request) -> explained.addAll(this.unexplained.remove(request)));
-		requests.forEach(this.unexplainedEver::remove);
+		requests.forEach(this.endsIncludingCleared::remove);
 		this.unexplained.values().forEach((servers) -> servers.removeAll(explained));
-		this.unexplainedEver.values().forEach((servers) -> servers.removeAll(explained));
+		this.endsIncludingCleared.values().forEach((servers) -> servers.removeAll(explained));
 		this.blamed.addAll(requests);
 	}
 
-	private boolean contested(String request, Set<String> servers) {
+	private boolean isContested(String request, Set<String> servers) {
 		return this.unexplained.entrySet().stream().anyMatch((other) -> {
 			long shared = other.getValue().stream().filter(servers::contains).count();
 			return !other.getKey().equals(request) && other.getValue().size() >= servers.size()
@@ -110,11 +113,11 @@
 		});
 	}
 
-	// Where many other requests were at several ends each, servers end by themselves, and
-	// a request is at several ends by chance: each four times as many such requests ask
-	// for one more end.
-	private int moreForNoise(Set<String> servers) {
-		long others = this.unexplainedEver.values()
+	// If many other requests were at several ends each, servers end for other reasons,
+	// and a request can be at several ends by chance. Each fourfold increase in the
+	// number of such requests requires one more end.
+	private int extraEndsForNoise(Set<String> servers) {
+		long others = this.endsIncludingCleared.values()
 			.stream()
 			.filter((ends) -> ends.stream().filter((server) -> !servers.contains(server)).limit(2).count() == 2)
 			.count();
--- a/decide/src/main/java/org/snowwind/decide/blame/ServerEnd.java
+++ b/decide/src/main/java/org/snowwind/decide/blame/ServerEnd.java
@@ -1,10 +1,10 @@
 package org.snowwind.decide.blame;
 
 /**
- * A request was at a server when the server's process ended.
+ * Records that a request was at a server when the process of the server ended.
  *
- * @param request the request's digest
- * @param server which life of the server
+ * @param request the digest of the request
+ * @param server the incarnation of the server
  */
 public record ServerEnd(String request, String server) {
 
--- a/decide/src/main/java/org/snowwind/decide/blame/package-info.java
+++ b/decide/src/main/java/org/snowwind/decide/blame/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Which request is to blame for the ends of servers.
+ * Identifies the requests that end the processes of the servers that run them.
  */
 package org.snowwind.decide.blame;
--- a/decide/src/main/java/org/snowwind/decide/burn/BurnAlert.java
+++ b/decide/src/main/java/org/snowwind/decide/burn/BurnAlert.java
@@ -3,41 +3,43 @@
 import java.util.Map;
 
 /**
- * Whether a budget is used up so fast that somebody should look.
+ * Alert on the burn rate of an error budget.
  *
  * <p>
- * Each alert needs a long and a short window, so that it neither starts on a blip nor
- * stays on long after the trouble has ended.
+ * Each alert requires a high burn rate in a long and a short window. The long window
+ * keeps a short spike from raising the alert, and the short window clears it soon after
+ * the problem has ended.
  */
 public enum BurnAlert {
 
-	/** Nothing to do. */
+	/** No alert. */
 	NONE,
 
-	/** The budget will be gone before its window ends. */
+	/** At this rate, the budget is used up before its window ends. */
 	SLOW,
 
-	/** The budget will be gone within hours. */
+	/** At this rate, the budget is used up within hours. */
 	FAST;
 
-	private static final double FAST_BURN = 14.4;
+	private static final double FAST_BURN_RATE = 14.4;
 
-	private static final double SLOW_BURN = 6;
+	private static final double SLOW_BURN_RATE = 6;
 
 	/**
-	 * Decides.
-	 * @param burns the burn over each window
+	 * Returns the alert for the burn rates.
+	 * @param burnRates the burn rate in each window
 	 * @return the alert
 	 */
-	public static BurnAlert of(Map<BurnWindow, Double> burns) {
-		if (both(burns, BurnWindow.ONE_HOUR, BurnWindow.FIVE_MINUTES, FAST_BURN)) {
+	public static BurnAlert of(Map<BurnWindow, Double> burnRates) {
+		if (bothReach(burnRates, BurnWindow.ONE_HOUR, BurnWindow.FIVE_MINUTES, FAST_BURN_RATE)) {
 			return FAST;
 		}
-		return both(burns, BurnWindow.SIX_HOURS, BurnWindow.ONE_HOUR, SLOW_BURN) ? SLOW : NONE;
+		return bothReach(burnRates, BurnWindow.SIX_HOURS, BurnWindow.ONE_HOUR, SLOW_BURN_RATE) ? SLOW : NONE;
 	}
 
-	private static boolean both(Map<BurnWindow, Double> burns, BurnWindow longer, BurnWindow shorter, double burn) {
-		return burns.get(longer) >= burn && burns.get(shorter) >= burn;
+	private static boolean bothReach(Map<BurnWindow, Double> burnRates, BurnWindow longer, BurnWindow shorter,
+			double threshold) {
+		return burnRates.get(longer) >= threshold && burnRates.get(shorter) >= threshold;
 	}
 
 }
--- a/decide/src/main/java/org/snowwind/decide/burn/BurnWindow.java
+++ b/decide/src/main/java/org/snowwind/decide/burn/BurnWindow.java
@@ -1,7 +1,7 @@
 package org.snowwind.decide.burn;
 
 /**
- * The windows over which burn is reckoned.
+ * Time windows over which the burn rate is computed.
  */
 public enum BurnWindow {
 
@@ -14,7 +14,7 @@
 	/** Six hours. */
 	SIX_HOURS("6h", 360),
 
-	/** Three days, for which the budget is given. */
+	/** Three days, the window of the error budget. */
 	THREE_DAYS("3d", 4320);
 
 	private final String label;
@@ -27,7 +27,7 @@
 	}
 
 	/**
-	 * Returns the short name.
+	 * Returns the short name of the window.
 	 * @return for example {@code 1h}
 	 */
 	public String label() {
@@ -35,8 +35,8 @@
 	}
 
 	/**
-	 * Returns the length.
-	 * @return minutes
+	 * Returns the length of the window.
+	 * @return the length, in minutes
 	 */
 	public int minutes() {
 		return this.minutes;
--- a/decide/src/main/java/org/snowwind/decide/burn/Tally.java
+++ b/decide/src/main/java/org/snowwind/decide/burn/Tally.java
@@ -1,10 +1,10 @@
 package org.snowwind.decide.burn;
 
 /**
- * Good and bad requests of a stretch of time.
+ * Counts of good and bad requests in a period of time.
  *
- * @param good how many met the objective
- * @param bad how many did not
+ * @param good how many requests met the objective
+ * @param bad how many requests did not
  */
 public record Tally(long good, long bad) {
 
@@ -12,8 +12,8 @@
 	public static final Tally NONE = new Tally(0, 0);
 
 	/**
-	 * Adds another tally.
-	 * @param other the other
+	 * Returns the sum of this tally and another one.
+	 * @param other the other tally
 	 * @return the sum
 	 */
 	public Tally plus(Tally other) {
@@ -25,14 +25,14 @@
 	 * @return from 0 to 1, 0 if there were no requests
 	 */
 	public double badShare() {
-		long all = this.good + this.bad;
-		return (all == 0) ? 0 : (double) this.bad / all;
+		long total = this.good + this.bad;
+		return (total == 0) ? 0 : (double) this.bad / total;
 	}
 
 	/**
-	 * Returns how fast the budget is used up.
+	 * Returns the burn rate: how fast the error budget is used up.
 	 * @param targetShare the share of requests that should be good
-	 * @return 1 when the budget lasts exactly its window
+	 * @return 1 if the budget lasts exactly for its window
 	 */
 	public double burn(double targetShare) {
 		return badShare() / (1 - targetShare);
--- a/decide/src/main/java/org/snowwind/decide/burn/package-info.java
+++ b/decide/src/main/java/org/snowwind/decide/burn/package-info.java
@@ -1,4 +1,4 @@
 /**
- * How fast a service-level budget is used up.
+ * Computes how fast the error budget of a service level is used up.
  */
 package org.snowwind.decide.burn;
--- a/decide/src/main/java/org/snowwind/decide/choice/Breaker.java
+++ b/decide/src/main/java/org/snowwind/decide/choice/Breaker.java
@@ -1,7 +1,8 @@
 package org.snowwind.decide.choice;
 
 /**
- * Keeps work from a server that fails, and brings it back slowly.
+ * Circuit breaker that stops sending work to a failing server and, once a probe has
+ * succeeded, increases its share slowly.
  */
 public final class Breaker {
 
@@ -9,106 +10,106 @@
 
 	private final BreakerSettings settings;
 
-	private int failuresInARow;
+	private int consecutiveFailures;
 
 	private long openUntilMillis = Long.MIN_VALUE;
 
 	private boolean probing;
 
-	private int openings;
+	private int consecutiveOpenings;
 
-	private long startedMillis = Long.MIN_VALUE;
+	private long closedMillis = Long.MIN_VALUE;
 
 	/**
 	 * Creates a closed breaker.
-	 * @param settings when it opens and how it closes
+	 * @param settings when the breaker opens and how it closes
 	 */
 	public Breaker(BreakerSettings settings) {
 		this.settings = settings;
 	}
 
 	/**
-	 * Tells whether the server may be offered work.
+	 * Returns whether the server may be offered work.
 	 * @param nowMillis the time, in milliseconds
 	 * @return true if it may
 	 */
 	public boolean allows(long nowMillis) {
-		if (this.failuresInARow < this.settings.failuresToOpen()) {
+		if (this.consecutiveFailures < this.settings.failuresToOpen()) {
 			return true;
 		}
 		return nowMillis >= this.openUntilMillis && !this.probing;
 	}
 
 	/**
-	 * Takes note that work is sent; on an open breaker it counts as the one probe until
-	 * its end is known.
+	 * Records that work is sent to the server. If the breaker is open, this is the only
+	 * probe until its outcome is recorded.
 	 */
 	public void sent() {
-		this.probing = this.failuresInARow >= this.settings.failuresToOpen();
+		this.probing = this.consecutiveFailures >= this.settings.failuresToOpen();
 	}
 
 	/**
-	 * Takes note that work was withdrawn, so that its end says nothing of the server.
+	 * Records that work was withdrawn, so that its outcome says nothing about the server.
 	 */
 	public void withdrawn() {
 		this.probing = false;
 	}
 
 	/**
-	 * Takes note of a success.
+	 * Records a success.
 	 * @param nowMillis the time, in milliseconds
 	 */
 	public void succeeded(long nowMillis) {
-		if (this.failuresInARow >= this.settings.failuresToOpen()) {
-			this.startedMillis = nowMillis;
+		if (this.consecutiveFailures >= this.settings.failuresToOpen()) {
+			this.closedMillis = nowMillis;
 		}
-		this.failuresInARow = 0;
+		this.consecutiveFailures = 0;
 		this.probing = false;
-		this.openings = 0;
+		this.consecutiveOpenings = 0;
 	}
 
 	/**
-	 * Takes note of a failure that speaks against the server.
+	 * Records a failure that is attributed to the server.
 	 * @param nowMillis the time, in milliseconds
 	 */
 	public void failed(long nowMillis) {
 		boolean probeFailed = this.probing;
 		this.probing = false;
-		this.failuresInARow++;
-		boolean opens = this.failuresInARow == this.settings.failuresToOpen() || probeFailed;
+		this.consecutiveFailures++;
+		boolean opens = this.consecutiveFailures == this.settings.failuresToOpen() || probeFailed;
 		if (opens) {
-			long openMillis = this.settings.openMillis() << Math.min(this.openings, MAX_DOUBLINGS);
-			this.openings++;
+			long openMillis = this.settings.openMillis() << Math.min(this.consecutiveOpenings, MAX_DOUBLINGS);
+			this.consecutiveOpenings++;
 			this.openUntilMillis = nowMillis + openMillis;
 		}
 	}
 
 	/**
-	 * Returns how much of its share the server gets.
+	 * Returns the fraction of its normal share that the server gets during slow start.
 	 * @param nowMillis the time, in milliseconds
-	 * @return from just above 0 to 1
+	 * @return a number from {@link BreakerSettings#lowestStartFactor()} to 1
 	 */
 	public double startFactor(long nowMillis) {
-		if (this.startedMillis == Long.MIN_VALUE) {
+		if (this.closedMillis == Long.MIN_VALUE) {
 			return 1;
 		}
-		double share = (double) (nowMillis - this.startedMillis) / this.settings.slowStartMillis();
+		double share = (double) (nowMillis - this.closedMillis) / this.settings.slowStartMillis();
 		return Math.min(1, Math.max(this.settings.lowestStartFactor(), share));
 	}
 
 	/**
 	 * When a breaker opens and how it closes.
 	 *
-	 * @param failuresToOpen how many failures in a row open it
+	 * @param failuresToOpen how many consecutive failures open it
 	 * @param openMillis how long it stays open before the first probe, in milliseconds;
-	 * each failed probe doubles it, up to sixteen times
-	 * @param slowStartMillis how long the server takes to get its whole share back, in
-	 * milliseconds
-	 * @param lowestStartFactor the share with which it begins
+	 * each failed probe doubles this time, up to sixteen times the initial value
+	 * @param slowStartMillis how long it takes until the server has its full share again,
+	 * in milliseconds
+	 * @param lowestStartFactor the fraction of its share with which slow start begins
 	 */
 	public record BreakerSettings(int failuresToOpen, long openMillis, long slowStartMillis, double lowestStartFactor) {
 
-		/** What entries use. */
+		/** The settings that entry processes use. */
 		public static final BreakerSettings DEFAULT = new BreakerSettings(3, 1000, 10_000, 0.1);
 
 	}
--- a/decide/src/main/java/org/snowwind/decide/choice/Candidates.java
+++ b/decide/src/main/java/org/snowwind/decide/choice/Candidates.java
@@ -4,7 +4,7 @@
 import java.util.function.Predicate;
 
 /**
- * Narrows down the servers before one is chosen.
+ * Filters the servers from which one is chosen.
  */
 public final class Candidates {
 
@@ -12,39 +12,44 @@
 	}
 
 	/**
-	 * Keeps the healthy servers, or all of them when too few look healthy.
+	 * Keeps the healthy servers, or all servers if too few seem healthy.
 	 *
 	 * <p>
-	 * When most servers look dead, the observer is more likely wrong than the servers.
+	 * If most servers seem to be down, the observer is more likely at fault than the
+	 * servers.
 	 * @param servers all servers of the target
-	 * @param healthy whether one looks healthy
-	 * @param panicShare below this share of healthy ones all are kept
+	 * @param healthy whether a server seems healthy
+	 * @param panicShare the share of healthy servers below which all servers are kept
 	 * @return the servers to choose from
 	 */
 	public static List<ServerView> healthyUnlessPanic(List<ServerView> servers, Predicate<ServerView> healthy,
 			double panicShare) {
-		List<ServerView> alive = servers.stream().filter(healthy).toList();
-		boolean panic = alive.size() < servers.size() * panicShare;
-		return panic ? servers : alive;
+		List<ServerView> healthyServers = servers.stream().filter(healthy).toList();
+		boolean panic = healthyServers.size() < servers.size() * panicShare;
+		return panic ? servers : healthyServers;
 	}
 
 	/**
-	 * Keeps the servers of the own data centre unless they are full and others are not.
+	 * Keeps the servers of the chooser's data centre unless all of them are full and
+	 * servers of other data centres are not.
 	 * @param servers the servers to choose from
-	 * @param spillFullness from this fullness on work spills to other data centres
+	 * @param spillFullness the load ratio above which work spills over to other data
+	 * centres
 	 * @return the servers to choose from
 	 */
 	public static List<ServerView> nearUnlessFull(List<ServerView> servers, double spillFullness) {
-		List<ServerView> near = servers.stream().filter(ServerView::sameDataCentre).toList();
-		boolean room = near.stream().anyMatch((server) -> server.fullness() <= spillFullness);
-		if (room) {
-			return near;
+		List<ServerView> local = servers.stream().filter(ServerView::sameDataCentre).toList();
+		boolean localCapacity = local.stream().anyMatch((server) -> server.fullness() <= spillFullness);
+		if (localCapacity) {
+			return local;
 		}
-		List<ServerView> withRoom = servers.stream().filter((server) -> server.fullness() <= spillFullness).toList();
-		if (!withRoom.isEmpty()) {
-			return withRoom;
+		List<ServerView> withCapacity = servers.stream()
+			.filter((server) -> server.fullness() <= spillFullness)
+			.toList();
+		if (!withCapacity.isEmpty()) {
+			return withCapacity;
 		}
-		return near.isEmpty() ? servers : near;
+		return local.isEmpty() ? servers : local;
 	}
 
 }
--- a/decide/src/main/java/org/snowwind/decide/choice/PrefixAffinity.java
+++ b/decide/src/main/java/org/snowwind/decide/choice/PrefixAffinity.java
@@ -4,45 +4,47 @@
 import java.util.Optional;
 
 /**
- * Takes the server that requests with the same start go to, unless it is too full.
+ * Chooses the server to which requests with the same prefix are sent, unless its load is
+ * too high.
  *
  * <p>
- * Servers are ranked by rendezvous hashing, so that one server's coming or going moves
- * only its own share. A server over the load bound passes the request to the next in
- * rank.
+ * Servers are ranked by rendezvous hashing, so that adding or removing a server moves
+ * only the requests of that server. If a server exceeds the load bound, the next one in
+ * rank is chosen.
  */
 public final class PrefixAffinity implements ServerChooser {
 
 	private final double loadBound;
 
-	private final ServerChooser otherwise;
+	private final ServerChooser fallback;
 
 	/**
 	 * Creates the chooser.
-	 * @param loadBound how much fuller than the mean the preferred server may be
-	 * @param otherwise asked when every server is over the bound
+	 * @param loadBound the maximum ratio between the load ratio of the preferred server
+	 * and the mean of all
+	 * @param fallback chooses if every server exceeds the bound
 	 */
-	public PrefixAffinity(double loadBound, ServerChooser otherwise) {
+	public PrefixAffinity(double loadBound, ServerChooser fallback) {
 		this.loadBound = loadBound;
-		this.otherwise = otherwise;
+		this.fallback = fallback;
 	}
 
 	@Override
 	public Optional<ServerView> choose(List<ServerView> candidates, long affinityHash) {
-		double meanFullness = candidates.stream().mapToDouble(ServerView::fullness).average().orElse(0);
+		double meanLoadRatio = candidates.stream().mapToDouble(ServerView::fullness).average().orElse(0);
 		ServerView best = null;
-		long bestRank = 0;
+		long bestScore = 0;
 		for (ServerView candidate : candidates) {
-			if (candidate.fullness() > meanFullness * this.loadBound) {
+			if (candidate.fullness() > meanLoadRatio * this.loadBound) {
 				continue;
 			}
-			long rank = Rendezvous.score(candidate.name(), affinityHash);
-			if (best == null || Long.compareUnsigned(rank, bestRank) > 0) {
+			long score = Rendezvous.score(candidate.name(), affinityHash);
+			if (best == null || Long.compareUnsigned(score, bestScore) > 0) {
 				best = candidate;
-				bestRank = rank;
+				bestScore = score;
 			}
 		}
-		return (best != null) ? Optional.of(best) : this.otherwise.choose(candidates, affinityHash);
+		return (best != null) ? Optional.of(best) : this.fallback.choose(candidates, affinityHash);
 	}
 
 }
--- a/decide/src/main/java/org/snowwind/decide/choice/Rendezvous.java
+++ b/decide/src/main/java/org/snowwind/decide/choice/Rendezvous.java
@@ -8,8 +8,8 @@
 import org.apache.commons.codec.digest.MurmurHash3;
 
 /**
- * Ranks things by rendezvous hashing, so that everyone who knows the same things ranks
- * them alike, and one thing's coming or going leaves the order of the others.
+ * Ranks items by rendezvous hashing. All processes that know the same items rank them in
+ * the same order, and adding or removing an item does not change the order of the others.
  */
 public final class Rendezvous {
 
@@ -17,25 +17,25 @@
 	}
 
 	/**
-	 * Returns the first things for a seed.
-	 * @param <T> the type of a thing
-	 * @param things the things
-	 * @param nameOf the name by which a thing is ranked
-	 * @param seed what they are ranked for
-	 * @param count how many are wanted
-	 * @return at most so many, best first
+	 * Returns the highest-ranked items for a seed.
+	 * @param <T> the type of an item
+	 * @param items the items
+	 * @param nameOf returns the name by which an item is ranked
+	 * @param seed the key for which the items are ranked
+	 * @param count the maximum number of items
+	 * @return at most {@code count} items, best first
 	 */
-	public static <T> List<T> first(List<T> things, Function<T, String> nameOf, String seed, int count) {
+	public static <T> List<T> first(List<T> items, Function<T, String> nameOf, String seed, int count) {
 		long seedHash = hash(seed);
 		Comparator<T> byScore = (left, right) -> Long.compareUnsigned(score(nameOf.apply(right), seedHash),
 				score(nameOf.apply(left), seedHash));
-		return things.stream().sorted(byScore.thenComparing(nameOf)).limit(count).toList();
+		return items.stream().sorted(byScore.thenComparing(nameOf)).limit(count).toList();
 	}
 
 	/**
-	 * Returns the score of a name, higher being better.
+	 * Returns the score of a name. A higher score is better.
 	 * @param name the name
-	 * @param seedHash the hash of what names are ranked for
+	 * @param seedHash the hash of the key for which names are ranked
 	 * @return the score, unsigned
 	 */
 	public static long score(String name, long seedHash) {
@@ -43,7 +43,7 @@
 	}
 
 	/**
-	 * Hashes a text, the same way in every process.
+	 * Returns a hash of a text that is the same in every process.
 	 * @param text the text
 	 * @return the hash
 	 */
--- a/decide/src/main/java/org/snowwind/decide/choice/RoundRobin.java
+++ b/decide/src/main/java/org/snowwind/decide/choice/RoundRobin.java
@@ -4,7 +4,7 @@
 import java.util.Optional;
 
 /**
- * Takes each server in turn: the plain baseline.
+ * Chooses each server in turn. This is the baseline for comparison.
  */
 public final class RoundRobin implements ServerChooser {
 
--- a/decide/src/main/java/org/snowwind/decide/choice/ServerChooser.java
+++ b/decide/src/main/java/org/snowwind/decide/choice/ServerChooser.java
@@ -4,17 +4,17 @@
 import java.util.Optional;
 
 /**
- * Chooses a server.
+ * Strategy that chooses the server for a request.
  */
 @FunctionalInterface
 public interface ServerChooser {
 
 	/**
-	 * Chooses one of the servers.
-	 * @param candidates servers that may be offered the request
-	 * @param affinityHash a hash of what the request shares with others, such as its
-	 * prompt's start
-	 * @return the server, or empty if there are none
+	 * Chooses one of the candidates.
+	 * @param candidates the servers to which the request may be sent
+	 * @param affinityHash a hash of what the request shares with other requests, such as
+	 * the prefix of its prompt
+	 * @return the server, or empty if there are no candidates
 	 */
 	Optional<ServerView> choose(List<ServerView> candidates, long affinityHash);
 
--- a/decide/src/main/java/org/snowwind/decide/choice/ServerView.java
+++ b/decide/src/main/java/org/snowwind/decide/choice/ServerView.java
@@ -1,21 +1,23 @@
 package org.snowwind.decide.choice;
 
 /**
- * What is known of a server when one is chosen.
+ * State of a server as known to the process that chooses one.
  *
- * @param name its name
- * @param sameDataCentre whether it stands in the chooser's data centre
- * @param ownInFlight how many requests of the chooser it has
- * @param reportedLoad running and queued requests by its last report, discounted by age
- * @param concurrencyLimit how many requests it runs at once
- * @param startFactor from 0 to 1 while it is slowly started, then 1
+ * @param name the name of the server
+ * @param sameDataCentre whether the server is in the same data centre as the chooser
+ * @param ownInFlight how many requests of the chooser are in flight to it
+ * @param reportedLoad running and queued requests according to its last report,
+ * discounted by the age of the report
+ * @param concurrencyLimit how many requests the server runs at once
+ * @param startFactor a fraction below 1 during slow start, otherwise 1
  */
 public record ServerView(String name, boolean sameDataCentre, int ownInFlight, double reportedLoad,
 		int concurrencyLimit, double startFactor) {
 
 	/**
-	 * Returns how full the server is, for comparison.
-	 * @return 1 when as many requests are there as it runs at once
+	 * Returns the load of the server relative to its capacity, for comparison with
+	 * others. The request that is to be sent is counted.
+	 * @return 1 if the server would then have as many requests as it runs at once
 	 */
 	public double fullness() {
 		double load = Math.max(this.ownInFlight, this.reportedLoad) + 1;
--- a/decide/src/main/java/org/snowwind/decide/choice/TwoChoices.java
+++ b/decide/src/main/java/org/snowwind/decide/choice/TwoChoices.java
@@ -5,7 +5,7 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Takes the less full of two random servers.
+ * Chooses the less loaded of two random servers (power of two choices).
  */
 public final class TwoChoices implements ServerChooser {
 
--- a/decide/src/main/java/org/snowwind/decide/choice/package-info.java
+++ b/decide/src/main/java/org/snowwind/decide/choice/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Which server takes a request.
+ * Chooses the server for a request.
  */
 package org.snowwind.decide.choice;
--- a/decide/src/main/java/org/snowwind/decide/ledger/AttemptId.java
+++ b/decide/src/main/java/org/snowwind/decide/ledger/AttemptId.java
@@ -1,23 +1,24 @@
 package org.snowwind.decide.ledger;
 
 /**
- * Names one attempt in the whole fleet.
+ * Identifier of an attempt, unique in the whole fleet.
  *
- * @param entryIncarnation the run of the entry process that sends it
- * @param sequence grows with each attempt of that run and is never used again
+ * @param entryIncarnation the incarnation of the entry process that sends the attempt
+ * @param sequence the number of the attempt, which grows with each attempt of that
+ * incarnation and is never reused
  */
 public record AttemptId(long entryIncarnation, long sequence) {
 
 	/**
-	 * Reads an id from a header.
-	 * @param text incarnation and sequence in hexadecimal with a hyphen between
-	 * @return the id
-	 * @throws NumberFormatException if the text is not an id
+	 * Parses an identifier from a header.
+	 * @param text the incarnation and the sequence in hexadecimal, separated by a hyphen
+	 * @return the identifier
+	 * @throws NumberFormatException if the text is not an attempt identifier
 	 */
 	public static AttemptId parse(String text) {
 		int hyphen = text.indexOf('-');
 		if (hyphen < 0) {
-			throw new NumberFormatException("an attempt id has a hyphen: " + text);
+			throw new NumberFormatException("attempt id without a hyphen: " + text);
 		}
 		long incarnation = Long.parseUnsignedLong(text.substring(0, hyphen), 16);
 		return new AttemptId(incarnation, Long.parseUnsignedLong(text.substring(hyphen + 1), 16));
--- a/decide/src/main/java/org/snowwind/decide/ledger/Ledger.java
+++ b/decide/src/main/java/org/snowwind/decide/ledger/Ledger.java
@@ -7,18 +7,18 @@
 import java.util.Set;
 
 /**
- * Remembers which attempts began and which never may.
+ * Records which attempts have begun and which are revoked and must never begin.
  *
  * <p>
- * Memory is bounded by what is outstanding. An entry states with each heartbeat a floor
- * below which none of its attempts is outstanding or will be sent; what lies below the
- * floor is refused if it still arrives, so nothing about it needs to be kept. An entry
- * that has not been heard of for long is retired by its incarnation, which is never
- * accepted again.
+ * Memory is bounded by the number of outstanding attempts. With each heartbeat, an entry
+ * reports a floor: no attempt with a lower sequence is outstanding or will be sent. An
+ * attempt below the floor that still arrives is rejected, so nothing about it needs to be
+ * kept. The incarnation of an entry that has been silent for long is retired and not
+ * accepted again. The number of retired incarnations that are kept is bounded too.
  */
 public final class Ledger {
 
-	private final int maxRemembered;
+	private final int maxAttemptsPerEntry;
 
 	private final int maxRetired;
 
@@ -28,18 +28,21 @@
 
 	/**
 	 * Creates an empty ledger.
-	 * @param maxRemembered how many outstanding attempts of one entry are remembered
-	 * @param maxRetired how many retired incarnations are remembered
+	 * @param maxAttemptsPerEntry the maximum number of attempts that are kept for an
+	 * entry
+	 * @param maxRetired the maximum number of retired incarnations that are kept; the
+	 * oldest are dropped first
 	 */
-	public Ledger(int maxRemembered, int maxRetired) {
-		this.maxRemembered = maxRemembered;
+	public Ledger(int maxAttemptsPerEntry, int maxRetired) {
+		this.maxAttemptsPerEntry = maxAttemptsPerEntry;
 		this.maxRetired = maxRetired;
 	}
 
 	/**
-	 * Takes note of an entry's heartbeat.
-	 * @param entryIncarnation the entry's incarnation
-	 * @param sequenceFloor no attempt below it is outstanding or will be sent
+	 * Records a heartbeat of an entry.
+	 * @param entryIncarnation the incarnation of the entry
+	 * @param sequenceFloor no attempt with a lower sequence is outstanding or will be
+	 * sent
 	 * @param nowMillis the time, in milliseconds
 	 */
 	public void heartbeat(long entryIncarnation, long sequenceFloor, long nowMillis) {
@@ -47,12 +50,12 @@
 			return;
 		}
 		EntryRecord entry = this.entries.computeIfAbsent(entryIncarnation, (key) -> new EntryRecord());
-		entry.lastHeardMillis = nowMillis;
+		entry.lastHeartbeatMillis = nowMillis;
 		entry.raiseFloor(sequenceFloor);
 	}
 
 	/**
-	 * Asks whether an attempt may begin, and takes note that it does.
+	 * Decides whether an attempt may begin, and if so records that it has begun.
 	 * @param id the attempt
 	 * @return the verdict
 	 */
@@ -67,7 +70,7 @@
 		if (entry.begun.contains(id.sequence())) {
 			return BeginVerdict.DUPLICATE;
 		}
-		if (entry.size() >= this.maxRemembered) {
+		if (entry.size() >= this.maxAttemptsPerEntry) {
 			return BeginVerdict.FULL;
 		}
 		entry.begun.add(id.sequence());
@@ -75,7 +78,8 @@
 	}
 
 	/**
-	 * Takes note that an attempt that was let begin did not reach the back end.
+	 * Records that an attempt that was allowed to begin did not reach the back end. It
+	 * counts as revoked from now on.
 	 * @param id the attempt
 	 */
 	public void neverReachedBackend(AttemptId id) {
@@ -86,9 +90,9 @@
 	}
 
 	/**
-	 * Keeps an attempt from beginning.
+	 * Revokes an attempt, so that it cannot begin any more, unless it has already begun.
 	 * @param id the attempt
-	 * @return the verdict
+	 * @return the outcome
 	 */
 	public RevokeOutcome revoke(AttemptId id) {
 		EntryRecord entry = this.entries.get(id.entryIncarnation());
@@ -98,7 +102,7 @@
 		if (entry.begun.contains(id.sequence())) {
 			return RevokeOutcome.BEGAN;
 		}
-		if (!entry.revoked.contains(id.sequence()) && entry.size() >= this.maxRemembered) {
+		if (!entry.revoked.contains(id.sequence()) && entry.size() >= this.maxAttemptsPerEntry) {
 			return RevokeOutcome.CANNOT_SAY;
 		}
 		entry.revoked.add(id.sequence());
@@ -106,13 +110,13 @@
 	}
 
 	/**
-	 * Forgets entries that have long been silent and refuses them for good.
-	 * @param heardSinceMillis entries not heard of since then are retired, in
+	 * Removes the entries that have been silent for long and retires their incarnations.
+	 * @param heardSinceMillis entries without a heartbeat since this time are retired, in
 	 * milliseconds
 	 */
 	public void retireSilent(long heardSinceMillis) {
 		this.entries.entrySet().removeIf((entry) -> {
-			boolean silent = entry.getValue().lastHeardMillis < heardSinceMillis;
+			boolean silent = entry.getValue().lastHeartbeatMillis < heardSinceMillis;
 			if (silent) {
 				retire(entry.getKey());
 			}
@@ -121,16 +125,16 @@
 	}
 
 	/**
-	 * Tells whether every entry that is known has been heard of since a time.
+	 * Returns whether every known entry has sent a heartbeat after a time.
 	 * @param sinceMillis the time, in milliseconds
-	 * @return true if the last heartbeat of each came later
+	 * @return true if the last heartbeat of each entry came later
 	 */
 	public boolean allHeardAfter(long sinceMillis) {
-		return this.entries.values().stream().allMatch((entry) -> entry.lastHeardMillis > sinceMillis);
+		return this.entries.values().stream().allMatch((entry) -> entry.lastHeartbeatMillis > sinceMillis);
 	}
 
 	/**
-	 * Counts what is remembered.
+	 * Returns the number of attempts that are kept.
 	 * @return the number of attempts
 	 */
 	public int size() {
@@ -145,39 +149,42 @@
 	}
 
 	/**
-	 * Whether an attempt may begin.
+	 * Verdict on whether an attempt may begin.
 	 */
 	public enum BeginVerdict {
 
-		/** It may, and counts as begun from now on. */
+		/** The attempt may begin, and counts as begun from now on. */
 		MAY_BEGIN,
 
-		/** It was revoked, or everything as old as it was. */
+		/** The attempt was revoked, or its sequence is below the floor. */
 		REVOKED,
 
-		/** It began before. */
+		/** The attempt has already begun. */
 		DUPLICATE,
 
-		/** Its entry has sent no heartbeat yet or is retired. */
+		/** The entry has sent no heartbeat yet or is retired. */
 		UNKNOWN_ENTRY,
 
-		/** Too many attempts of its entry are outstanding. */
+		/** Too many attempts of the entry are outstanding. */
 		FULL
 
 	}
 
 	/**
-	 * What is known of a revoked attempt.
+	 * Outcome of revoking an attempt.
 	 */
 	public enum RevokeOutcome {
 
-		/** It had begun. */
+		/** The attempt had already begun. */
 		BEGAN,
 
-		/** It had not begun and never will. */
+		/** The attempt had not begun and never will. */
 		NEVER_WILL_BEGIN,
 
-		/** This ledger cannot say. */
+		/**
+		 * The ledger does not know whether the attempt began, or it has no space to
+		 * revoke it.
+		 */
 		CANNOT_SAY
 
 	}
@@ -190,7 +197,7 @@
 
 		private long floor;
 
-		private long lastHeardMillis;
+		private long lastHeartbeatMillis;
 
 		private int size() {
 			return this.begun.size() + this.revoked.size();
--- a/decide/src/main/java/org/snowwind/decide/ledger/package-info.java
+++ b/decide/src/main/java/org/snowwind/decide/ledger/package-info.java
@@ -1,4 +1,4 @@
 /**
- * What began at an agent, and what never will.
+ * Tracks which attempts have begun at an agent and which never will.
  */
 package org.snowwind.decide.ledger;
--- a/decide/src/main/java/org/snowwind/decide/notice/RetryAfterHeader.java
+++ b/decide/src/main/java/org/snowwind/decide/notice/RetryAfterHeader.java
@@ -10,13 +10,13 @@
 import org.snowwind.decide.limit.NamedLimit;
 
 /**
- * Reads the value of {@code Retry-After}.
+ * Parses the value of {@code Retry-After}.
  *
  * <p>
- * Seconds may have decimals. A date is read relative to the date of the response, so that
- * the clock of this process does not matter. The longest of several values counts. Longer
- * delays than {@link #MAX_MILLIS} are shortened to that: one wrong value must not take a
- * server out of service for good.
+ * Seconds may have decimals. A date is taken relative to the date of the response, so
+ * that the clock of this process does not matter. Of several values, the longest is used.
+ * Delays longer than {@link #MAX_MILLIS} are capped, so that one wrong value cannot keep
+ * a server out of service indefinitely.
  */
 public final class RetryAfterHeader {
 
@@ -29,12 +29,12 @@
 	}
 
 	/**
-	 * Reads a value.
-	 * @param value the value, several joined by commas
+	 * Parses a value.
+	 * @param value the value, or several values joined by commas
 	 * @param responseDate the value of the response's {@code Date}, {@code null} if it
 	 * has none
 	 * @return the delay in milliseconds, 0 to {@link #MAX_MILLIS}; empty if the value
-	 * cannot be read
+	 * cannot be parsed
 	 */
 	public static OptionalLong parseMillis(String value, String responseDate) {
 		double seconds = -1;
--- a/decide/src/main/java/org/snowwind/decide/notice/ServerBackoff.java
+++ b/decide/src/main/java/org/snowwind/decide/notice/ServerBackoff.java
@@ -1,12 +1,12 @@
 package org.snowwind.decide.notice;
 
 /**
- * How long one incarnation of a server wants no requests from this process, and how this
- * process returns to it.
+ * The backoff of this process towards one incarnation of a server, and the ramp-up of
+ * requests after it.
  *
  * <p>
- * A delay counts from when the response arrived, which is later than when the server sent
- * it. No later response shortens it: each rejection binds on its own.
+ * A delay starts when the response arrives, which is later than when the server sent it.
+ * No later response shortens it, because the delay of each rejection must be kept.
  */
 public final class ServerBackoff {
 
@@ -16,25 +16,25 @@
 
 	private long untilMillis = NEVER;
 
-	private ReturnPace pace = ReturnPace.AT_ONCE;
+	private ReturnPace rampUp = ReturnPace.AT_ONCE;
 
 	private long lastSentMillis = NEVER;
 
 	/**
 	 * Records a rejection with {@code Retry-After}.
 	 * @param retryAfterMillis the delay, in milliseconds
-	 * @param next how this process returns afterwards
+	 * @param nextRampUp the ramp-up after the backoff
 	 * @param nowMillis the time, in milliseconds
-	 * @return whether the backoff ends later than before
+	 * @return true if the backoff now ends later than before
 	 */
-	public boolean retryAfter(long retryAfterMillis, ReturnPace next, long nowMillis) {
+	public boolean retryAfter(long retryAfterMillis, ReturnPace nextRampUp, long nowMillis) {
 		long endMillis = nowMillis + retryAfterMillis;
 		if (endMillis <= this.untilMillis || retryAfterMillis <= 0) {
 			return false;
 		}
 		this.startMillis = isActive(nowMillis) ? this.startMillis : nowMillis;
 		this.untilMillis = endMillis;
-		this.pace = next;
+		this.rampUp = nextRampUp;
 		this.lastSentMillis = NEVER;
 		return true;
 	}
@@ -48,18 +48,19 @@
 	}
 
 	/**
-	 * Tells whether the server wants no requests from this process.
+	 * Returns whether the backoff is in force.
 	 * @param nowMillis the time, in milliseconds
-	 * @return true until its delay is over
+	 * @return true until the delay is over
 	 */
 	public boolean isActive(long nowMillis) {
 		return nowMillis < this.untilMillis;
 	}
 
 	/**
-	 * Tells whether a request may be sent.
+	 * Returns whether a request may be sent.
 	 * @param nowMillis the time, in milliseconds
-	 * @return false while the backoff lasts, and between two requests of the return
+	 * @return false during the backoff, and during the ramp-up until the interval since
+	 * the last request has passed
 	 */
 	public boolean admits(long nowMillis) {
 		return nowMillis >= nextMillis(nowMillis);
@@ -71,15 +72,16 @@
 	 * @return the time, in milliseconds; in the past if one may be sent now
 	 */
 	public long nextMillis(long nowMillis) {
-		long returnMillis = this.untilMillis + this.pace.offsetMillis();
+		long rampUpStartMillis = this.untilMillis + this.rampUp.offsetMillis();
 		if (this.lastSentMillis == NEVER || this.untilMillis == NEVER) {
-			return returnMillis;
+			return rampUpStartMillis;
 		}
-		return Math.max(returnMillis, this.lastSentMillis + this.pace.intervalMillis(nowMillis - returnMillis));
+		return Math.max(rampUpStartMillis,
+				this.lastSentMillis + this.rampUp.intervalMillis(nowMillis - rampUpStartMillis));
 	}
 
 	/**
-	 * Returns since when the server wants no requests.
+	 * Returns when the current backoff began, or the last one if none is in force.
 	 * @return the time, in milliseconds
 	 */
 	public long startMillis() {
@@ -87,9 +89,9 @@
 	}
 
 	/**
-	 * Returns until when the server wants no requests.
-	 * @return the time, in milliseconds; {@link Long#MIN_VALUE} if it never asked for
-	 * that
+	 * Returns when the backoff ends.
+	 * @return the time, in milliseconds; {@link Long#MIN_VALUE} if the server never asked
+	 * for one
 	 */
 	public long untilMillis() {
 		return this.untilMillis;
--- a/decide/src/main/java/org/snowwind/decide/notice/ServerNotice.java
+++ b/decide/src/main/java/org/snowwind/decide/notice/ServerNotice.java
@@ -3,17 +3,17 @@
 import org.snowwind.decide.limit.NamedLimit;
 
 /**
- * What one response head says about the near future of its server.
+ * What a response head announces about the requests that its server will accept next.
  *
- * @param limit the rate that the server takes from all gateways together
- * @param retryAfterMillis how long the server wants no requests from this gateway, in
- * milliseconds; 0 if it does not say
+ * @param limit the rate limit of the server for all gateways together
+ * @param retryAfterMillis how long this gateway must send no requests to the server, in
+ * milliseconds; 0 if the server names no delay
  * @param leaving whether the server announces that it is leaving
- * @param unreadable header values that cannot be read, empty if there are none
+ * @param unreadable header values that cannot be parsed, empty if there are none
  */
 public record ServerNotice(NamedLimit limit, long retryAfterMillis, boolean leaving, String unreadable) {
 
-	/** A head that says nothing. */
+	/** The notice of a head that announces nothing. */
 	public static final ServerNotice NONE = new ServerNotice(NamedLimit.NONE, 0, false, "");
 
 }
--- a/decide/src/main/java/org/snowwind/decide/notice/package-info.java
+++ b/decide/src/main/java/org/snowwind/decide/notice/package-info.java
@@ -1,4 +1,5 @@
 /**
- * What backend servers announce about the near future in the heads of their responses.
+ * Reads rate limits, delays and departures that backend servers announce in the heads of
+ * their responses.
  */
 package org.snowwind.decide.notice;
--- a/decide/src/main/java/org/snowwind/decide/outcome/AnsweredRequestIsFinished.java
+++ b/decide/src/main/java/org/snowwind/decide/outcome/AnsweredRequestIsFinished.java
@@ -3,7 +3,7 @@
 import org.snowwind.model.outcome.Disclosure;
 
 /**
- * A request whose whole answer arrived is finished.
+ * Finishes a request whose answer has arrived completely.
  *
  * <p>
  * Severity: safety.
@@ -11,9 +11,9 @@
 public final class AnsweredRequestIsFinished implements NextStepRule {
 
 	@Override
-	public NextStep decide(Situation situation) {
-		if (situation.end() != AttemptEnd.ANSWERED) {
-			return NextStep.NO_OPINION;
+	public NextStep decide(Situation context) {
+		if (context.end() != AttemptEnd.ANSWERED) {
+			return NextStep.NOT_APPLICABLE;
 		}
 		return NextStep.finish(Disclosure.ANSWERED, null);
 	}
--- a/decide/src/main/java/org/snowwind/decide/outcome/AttemptEnd.java
+++ b/decide/src/main/java/org/snowwind/decide/outcome/AttemptEnd.java
@@ -1,29 +1,29 @@
 package org.snowwind.decide.outcome;
 
 /**
- * How one attempt ended, as far as its sender can tell.
+ * How an attempt ended, as far as the sender knows.
  */
 public enum AttemptEnd {
 
-	/** No byte left this process. */
+	/** No byte of the request was sent. */
 	NOT_SENT(true),
 
-	/** The agent refused it before it began. */
+	/** The agent rejected the attempt before it began. */
 	REFUSED(true),
 
-	/** The agent promised that it never will begin. */
+	/** The agent revoked the attempt, which therefore never begins. */
 	REVOKED(true),
 
-	/** It was sent; nothing is known of its beginning. */
+	/** The request was sent; it is not yet known whether the attempt began. */
 	SENT_THEN_LOST(false),
 
-	/** It was sent, and whoever could tell whether it began is gone. */
+	/** The request was sent, and it can no longer be determined whether it began. */
 	LOST_FOR_GOOD(false),
 
-	/** It began and broke off. */
+	/** The attempt began and failed before its answer was complete. */
 	BEGAN_THEN_BROKE(false),
 
-	/** The whole answer arrived. */
+	/** The answer arrived completely. */
 	ANSWERED(false);
 
 	private final boolean provesNotRun;
@@ -33,7 +33,7 @@
 	}
 
 	/**
-	 * Tells whether this end proves that the work did not run and never will.
+	 * Returns whether this end proves that the work did not run and never will run.
 	 * @return true if it does
 	 */
 	public boolean provesNotRun() {
@@ -41,7 +41,7 @@
 	}
 
 	/**
-	 * Tells whether the server may have run the work and did not answer in full.
+	 * Returns whether the server may have run the work without answering completely.
 	 * @return true if it may
 	 */
 	public boolean broke() {
--- a/decide/src/main/java/org/snowwind/decide/outcome/BegunWorkIsRepeatedOnlyIfRepeatable.java
+++ b/decide/src/main/java/org/snowwind/decide/outcome/BegunWorkIsRepeatedOnlyIfRepeatable.java
@@ -4,7 +4,7 @@
 import org.snowwind.model.outcome.ProblemKind;
 
 /**
- * Work that began, or may have, is sent again only if it is repeatable.
+ * Ends a request whose work began, or may have begun, unless the work is repeatable.
  *
  * <p>
  * Severity: safety.
@@ -12,11 +12,11 @@
 public final class BegunWorkIsRepeatedOnlyIfRepeatable implements NextStepRule {
 
 	@Override
-	public NextStep decide(Situation situation) {
-		if (situation.end().provesNotRun() || situation.repeatable()) {
-			return NextStep.NO_OPINION;
+	public NextStep decide(Situation context) {
+		if (context.end().provesNotRun() || context.repeatable()) {
+			return NextStep.NOT_APPLICABLE;
 		}
-		ProblemKind problem = situation.inTime() ? ProblemKind.BACKEND_FAILED : ProblemKind.DEADLINE;
+		ProblemKind problem = context.hasTimeLeft() ? ProblemKind.BACKEND_FAILED : ProblemKind.DEADLINE;
 		return NextStep.finish(Disclosure.UNKNOWN, problem);
 	}
 
--- a/decide/src/main/java/org/snowwind/decide/outcome/DeliveredBytesAreOnlyContinued.java
+++ b/decide/src/main/java/org/snowwind/decide/outcome/DeliveredBytesAreOnlyContinued.java
@@ -4,8 +4,8 @@
 import org.snowwind.model.outcome.ProblemKind;
 
 /**
- * An answer of which bytes were delivered is continued at its offset or broken off, never
- * restarted.
+ * Resumes an answer at its offset or ends the request once bytes have been delivered to
+ * the caller. Such an answer is never restarted.
  *
  * <p>
  * Severity: safety.
@@ -13,15 +13,15 @@
 public final class DeliveredBytesAreOnlyContinued implements NextStepRule {
 
 	@Override
-	public NextStep decide(Situation situation) {
-		if (situation.bytesDelivered() == 0) {
-			return NextStep.NO_OPINION;
+	public NextStep decide(Situation context) {
+		if (context.bytesDelivered() == 0) {
+			return NextStep.NOT_APPLICABLE;
 		}
-		boolean mayContinue = situation.repeatable() && situation.resumable();
-		if (mayContinue && situation.anotherAttemptAffordable()) {
+		boolean mayResume = context.repeatable() && context.resumable();
+		if (mayResume && context.anotherAttemptAffordable()) {
 			return NextStep.RESUME;
 		}
-		ProblemKind problem = situation.inTime() ? ProblemKind.BACKEND_FAILED : ProblemKind.DEADLINE;
+		ProblemKind problem = context.hasTimeLeft() ? ProblemKind.BACKEND_FAILED : ProblemKind.DEADLINE;
 		return NextStep.finish(Disclosure.FAILED, problem);
 	}
 
--- a/decide/src/main/java/org/snowwind/decide/outcome/LostAttemptIsRevokedFirst.java
+++ b/decide/src/main/java/org/snowwind/decide/outcome/LostAttemptIsRevokedFirst.java
@@ -1,7 +1,9 @@
 package org.snowwind.decide.outcome;
 
 /**
- * An attempt that was sent and lost is revoked before anything is said or done about it.
+ * Revokes an attempt that was sent and whose outcome is unknown before the caller is told
+ * anything or the work is sent again. Repeatable work that can still be retried is sent
+ * again without this, since it may run more than once.
  *
  * <p>
  * Severity: safety.
@@ -9,12 +11,12 @@
 public final class LostAttemptIsRevokedFirst implements NextStepRule {
 
 	@Override
-	public NextStep decide(Situation situation) {
-		if (situation.end() != AttemptEnd.SENT_THEN_LOST) {
-			return NextStep.NO_OPINION;
+	public NextStep decide(Situation context) {
+		if (context.end() != AttemptEnd.SENT_THEN_LOST) {
+			return NextStep.NOT_APPLICABLE;
 		}
-		boolean retryNeedsNoProof = situation.repeatable() && situation.anotherAttemptAffordable();
-		return retryNeedsNoProof ? NextStep.SEND : NextStep.REVOKE;
+		boolean retryWithoutRevoking = context.repeatable() && context.anotherAttemptAffordable();
+		return retryWithoutRevoking ? NextStep.SEND : NextStep.REVOKE;
 	}
 
 }
--- a/decide/src/main/java/org/snowwind/decide/outcome/NextStep.java
+++ b/decide/src/main/java/org/snowwind/decide/outcome/NextStep.java
@@ -4,26 +4,26 @@
 import org.snowwind.model.outcome.ProblemKind;
 
 /**
- * What to do next with a request.
+ * The next step of a request after an attempt has ended.
  */
 public sealed interface NextStep permits NextStep.Send, NextStep.Resume, NextStep.Revoke, NextStep.Finish {
 
-	/** The rule has nothing to say. */
-	NextStep NO_OPINION = new Finish(null, null);
+	/** Returned by a rule that does not apply. */
+	NextStep NOT_APPLICABLE = new Finish(null, null);
 
-	/** Makes another attempt from the start. */
+	/** Sends another attempt that starts the work from the beginning. */
 	NextStep SEND = new Send();
 
-	/** Makes another attempt that continues the answer. */
+	/** Sends another attempt that resumes the answer at its current offset. */
 	NextStep RESUME = new Resume();
 
-	/** Asks the agent whether the attempt began, and keeps it from beginning. */
+	/** Revokes the attempt at the agent, which reports whether it had already begun. */
 	NextStep REVOKE = new Revoke();
 
 	/**
-	 * Ends the request.
-	 * @param disclosure what the caller is told about its having run
-	 * @param problem the kind of problem, {@code null} if it was answered
+	 * Creates the step that ends the request.
+	 * @param disclosure what the caller is told about whether the request ran
+	 * @param problem the kind of problem, {@code null} if the request was answered
 	 * @return the step
 	 */
 	static NextStep finish(Disclosure disclosure, ProblemKind problem) {
@@ -31,81 +31,82 @@
 	}
 
 	/**
-	 * Handles each case.
-	 * @param cases what to do in each
+	 * Calls the method of the visitor that matches this step.
+	 * @param visitor handles the step
 	 */
-	void perform(Cases cases);
+	void perform(Cases visitor);
 
 	/**
-	 * A handler of every case, so that a new case fails the compiler.
+	 * Visitor with one method for each step, so that a new step breaks compilation until
+	 * every visitor handles it.
 	 */
 	interface Cases {
 
-		/** Makes another attempt from the start. */
+		/** Sends another attempt that starts the work from the beginning. */
 		void send();
 
-		/** Makes another attempt that continues the answer. */
+		/** Sends another attempt that resumes the answer at its current offset. */
 		void resume();
 
-		/** Asks the agent whether the attempt began. */
+		/** Revokes the attempt at the agent. */
 		void revoke();
 
 		/**
 		 * Ends the request.
-		 * @param disclosure what the caller is told about its having run
-		 * @param problem the kind of problem, {@code null} if it was answered
+		 * @param disclosure what the caller is told about whether the request ran
+		 * @param problem the kind of problem, {@code null} if the request was answered
 		 */
 		void finish(Disclosure disclosure, ProblemKind problem);
 
 	}
 
 	/**
-	 * Another attempt from the start.
+	 * Sends another attempt that starts the work from the beginning.
 	 */
 	record Send() implements NextStep {
 
 		@Override
-		public void perform(Cases cases) {
-			cases.send();
+		public void perform(Cases visitor) {
+			visitor.send();
 		}
 
 	}
 
 	/**
-	 * Another attempt that continues the answer.
+	 * Sends another attempt that resumes the answer at its current offset.
 	 */
 	record Resume() implements NextStep {
 
 		@Override
-		public void perform(Cases cases) {
-			cases.resume();
+		public void perform(Cases visitor) {
+			visitor.resume();
 		}
 
 	}
 
 	/**
-	 * A question to the agent.
+	 * Revokes the attempt at the agent, which reports whether it had already begun.
 	 */
 	record Revoke() implements NextStep {
 
 		@Override
-		public void perform(Cases cases) {
-			cases.revoke();
+		public void perform(Cases visitor) {
+			visitor.revoke();
 		}
 
 	}
 
 	/**
-	 * The end of the request.
+	 * Ends the request.
 	 *
-	 * @param disclosure what the caller is told about its having run
-	 * @param problem the kind of problem, {@code null} if it was answered
+	 * @param disclosure what the caller is told about whether the request ran
+	 * @param problem the kind of problem, {@code null} if the request was answered
 	 */
 	record Finish(Disclosure disclosure, ProblemKind problem) implements NextStep {
 
 		@Override
-		public void perform(Cases cases) {
-			cases.finish(this.disclosure, this.problem);
+		public void perform(Cases visitor) {
+			visitor.finish(this.disclosure, this.problem);
 		}
 
 	}
--- a/decide/src/main/java/org/snowwind/decide/outcome/NextStepRule.java
+++ b/decide/src/main/java/org/snowwind/decide/outcome/NextStepRule.java
@@ -1,16 +1,16 @@
 package org.snowwind.decide.outcome;
 
 /**
- * One reason for one next step.
+ * Rule that decides the next step of the requests to which it applies.
  */
 @FunctionalInterface
 public interface NextStepRule {
 
 	/**
-	 * Decides, or has no opinion.
-	 * @param situation what is known
-	 * @return the step, or {@link NextStep#NO_OPINION}
+	 * Decides the next step if this rule applies.
+	 * @param context the state of the request after the attempt
+	 * @return the step, or {@link NextStep#NOT_APPLICABLE} if this rule does not apply
 	 */
-	NextStep decide(Situation situation);
+	NextStep decide(Situation context);
 
 }
--- a/decide/src/main/java/org/snowwind/decide/outcome/NextStepRules.java
+++ b/decide/src/main/java/org/snowwind/decide/outcome/NextStepRules.java
@@ -3,11 +3,11 @@
 import java.util.List;
 
 /**
- * The registry of the rules, in the order in which they are asked.
+ * Lists the rules in order of precedence and evaluates them.
  */
 public final class NextStepRules {
 
-	/** All rules; the first that has an opinion holds. */
+	/** All rules; the first rule that applies decides. */
 	public static final List<NextStepRule> ALL = List.of(new AnsweredRequestIsFinished(),
 			new DeliveredBytesAreOnlyContinued(), new LostAttemptIsRevokedFirst(),
 			new BegunWorkIsRepeatedOnlyIfRepeatable(), new SpentBudgetEndsTheRequest(), new RemainingWorkIsRetried());
@@ -16,22 +16,22 @@
 	}
 
 	/**
-	 * Asks the rules.
-	 * @param situation what is known
+	 * Evaluates the rules.
+	 * @param context the state of the request after the attempt
 	 * @return the next step
 	 */
-	public static NextStep decide(Situation situation) {
-		return decide(ALL, situation);
+	public static NextStep decide(Situation context) {
+		return decide(ALL, context);
 	}
 
-	static NextStep decide(List<NextStepRule> rules, Situation situation) {
+	static NextStep decide(List<NextStepRule> rules, Situation context) {
 		for (NextStepRule rule : rules) {
-			NextStep step = rule.decide(situation);
-			if (step != NextStep.NO_OPINION) {
+			NextStep step = rule.decide(context);
+			if (step != NextStep.NOT_APPLICABLE) {
 				return step;
 			}
 		}
-		throw new IllegalStateException("the last rule always has an opinion");
+		throw new IllegalStateException("no rule applied, although the last rule always does");
 	}
 
 }
--- a/decide/src/main/java/org/snowwind/decide/outcome/RemainingWorkIsRetried.java
+++ b/decide/src/main/java/org/snowwind/decide/outcome/RemainingWorkIsRetried.java
@@ -1,7 +1,7 @@
 package org.snowwind.decide.outcome;
 
 /**
- * What no other rule ends is tried again on another server.
+ * Retries the request on another server if no other rule applies.
  *
  * <p>
  * Severity: policy.
@@ -9,7 +9,7 @@
 public final class RemainingWorkIsRetried implements NextStepRule {
 
 	@Override
-	public NextStep decide(Situation situation) {
+	public NextStep decide(Situation context) {
 		return NextStep.SEND;
 	}
 
--- a/decide/src/main/java/org/snowwind/decide/outcome/Situation.java
+++ b/decide/src/main/java/org/snowwind/decide/outcome/Situation.java
@@ -3,47 +3,47 @@
 import org.snowwind.model.outcome.ProblemKind;
 
 /**
- * All that the choice of the next step depends on.
+ * State of a request after an attempt has ended, on which the next step depends.
  *
  * @param end how the last attempt ended
  * @param repeatable whether the work may run more than once
  * @param resumable whether the back end can continue an answer at an offset
- * @param bytesDelivered how many bytes of the answer have gone to the caller
- * @param attemptsUsed how many attempts were made, the last one included
+ * @param bytesDelivered how many bytes of the answer have been sent to the caller
+ * @param attemptsUsed how many attempts were made, including the last one
  * @param maxAttempts how many attempts are allowed
- * @param remainingMillis what is left of the request's budget, in milliseconds
+ * @param remainingMillis time left in the request's budget, in milliseconds
  * @param retryBudgetLeft whether the organisation's retry budget allows another attempt
- * @param serverLeft whether there is a server left to try
- * @param ranBefore whether an earlier attempt may have run the work
- * @param refusal why the last attempt was refused; {@code null} if it was not
+ * @param serverLeft whether another server can be tried
+ * @param earlierAttemptMayHaveRun whether an earlier attempt may have run the work
+ * @param rejection why the last attempt was rejected; {@code null} if it was not
  */
 public record Situation(AttemptEnd end, boolean repeatable, boolean resumable, long bytesDelivered, int attemptsUsed,
-		int maxAttempts, long remainingMillis, boolean retryBudgetLeft, boolean serverLeft, boolean ranBefore,
-		ProblemKind refusal) {
+		int maxAttempts, long remainingMillis, boolean retryBudgetLeft, boolean serverLeft,
+		boolean earlierAttemptMayHaveRun, ProblemKind rejection) {
 
 	/**
-	 * Tells whether any attempt may have run the work: what a caller is told speaks for
-	 * all of them.
-	 * @return false if all ends prove that it did not run
+	 * Returns whether any attempt may have run the work. What a caller is told covers all
+	 * attempts, not only the last one.
+	 * @return false if it is proved for every attempt that the work did not run
 	 */
 	public boolean mayHaveRun() {
-		return this.ranBefore || !this.end.provesNotRun();
+		return this.earlierAttemptMayHaveRun || !this.end.provesNotRun();
 	}
 
 	/**
-	 * Tells whether time is left for another attempt.
-	 * @return true if it is
+	 * Returns whether time is left for another attempt.
+	 * @return true if the budget is not used up
 	 */
-	public boolean inTime() {
+	public boolean hasTimeLeft() {
 		return this.remainingMillis > 0;
 	}
 
 	/**
-	 * Tells whether another attempt is affordable.
+	 * Returns whether the request can afford another attempt.
 	 * @return true if attempts, time, retry budget and servers allow one
 	 */
 	public boolean anotherAttemptAffordable() {
-		return this.attemptsUsed < this.maxAttempts && inTime() && this.retryBudgetLeft && this.serverLeft;
+		return this.attemptsUsed < this.maxAttempts && hasTimeLeft() && this.retryBudgetLeft && this.serverLeft;
 	}
 
 }
--- a/decide/src/main/java/org/snowwind/decide/outcome/SpentBudgetEndsTheRequest.java
+++ b/decide/src/main/java/org/snowwind/decide/outcome/SpentBudgetEndsTheRequest.java
@@ -4,7 +4,7 @@
 import org.snowwind.model.outcome.ProblemKind;
 
 /**
- * A request without time, attempts, retry budget or servers is given up on at once.
+ * Ends a request at once if it has no time, attempts, retry budget or servers left.
  *
  * <p>
  * Severity: policy.
@@ -12,19 +12,19 @@
 public final class SpentBudgetEndsTheRequest implements NextStepRule {
 
 	@Override
-	public NextStep decide(Situation situation) {
-		if (situation.anotherAttemptAffordable()) {
-			return NextStep.NO_OPINION;
+	public NextStep decide(Situation context) {
+		if (context.anotherAttemptAffordable()) {
+			return NextStep.NOT_APPLICABLE;
 		}
-		if (situation.mayHaveRun()) {
-			ProblemKind problem = situation.inTime() ? ProblemKind.BACKEND_FAILED : ProblemKind.DEADLINE;
+		if (context.mayHaveRun()) {
+			ProblemKind problem = context.hasTimeLeft() ? ProblemKind.BACKEND_FAILED : ProblemKind.DEADLINE;
 			return NextStep.finish(Disclosure.UNKNOWN, problem);
 		}
-		if (!situation.inTime()) {
+		if (!context.hasTimeLeft()) {
 			return NextStep.finish(Disclosure.NOT_RUN, ProblemKind.DEADLINE_NOT_RUN);
 		}
-		ProblemKind refusal = (situation.refusal() != null) ? situation.refusal() : ProblemKind.NO_SERVER;
-		return NextStep.finish(Disclosure.NOT_RUN, refusal);
+		ProblemKind rejection = (context.rejection() != null) ? context.rejection() : ProblemKind.NO_SERVER;
+		return NextStep.finish(Disclosure.NOT_RUN, rejection);
 	}
 
 }
--- a/decide/src/main/java/org/snowwind/decide/outcome/package-info.java
+++ b/decide/src/main/java/org/snowwind/decide/outcome/package-info.java
@@ -1,4 +1,5 @@
 /**
- * What to do next with a request: one rule per class, listed in one registry.
+ * Decides the next step of a request after an attempt ends. Each rule is one class, and
+ * {@link org.snowwind.decide.outcome.NextStepRules} lists them in order.
  */
 package org.snowwind.decide.outcome;
--- a/decide/src/main/java/org/snowwind/decide/stop/StopSchedule.java
+++ b/decide/src/main/java/org/snowwind/decide/stop/StopSchedule.java
@@ -1,32 +1,34 @@
 package org.snowwind.decide.stop;
 
 /**
- * The moments of one stop, all known when it begins.
+ * Times of one graceful stop, all fixed when the stop begins.
  *
  * <p>
- * Until whoever sends requests can know of the stop, all are taken: refusing them would
- * fail callers that had no way to go elsewhere. From then on a request is taken only if
- * it certainly ends before the stop does, because one that is cut off is lost, and one
- * that is refused at once runs elsewhere. The end never moves, so that the answer to "can
- * this still be finished?" is the same for all that ask.
+ * Until the senders of requests can know of the stop, every request is accepted, because
+ * rejecting it would fail callers that could not have chosen another process. After that,
+ * a request is accepted only if its deadline is not later than the final answers: a
+ * request that is cut off is lost, while one that is rejected at once runs elsewhere. The
+ * end never changes, so that every part of the process decides alike whether a request
+ * can still finish.
  *
- * @param beganMillis when the process was told to stop, on its own clock
- * @param knownMillis from when on balancers, or whoever else sends requests, know of it
- * @param lastAnswersMillis when what is still open is answered as far as it can be
- * @param endMillis when what is open then is cut off
+ * @param beganMillis when the process was told to stop, by its own clock
+ * @param knownMillis from when on balancers and other senders of requests know of the
+ * stop
+ * @param lastAnswersMillis when the requests that are still open get their final answers
+ * @param endMillis when the requests that are still open are cut off
  */
 public record StopSchedule(long beganMillis, long knownMillis, long lastAnswersMillis, long endMillis) {
 
 	/**
-	 * Plans a stop.
+	 * Creates the schedule of a stop.
 	 * @param nowMillis when the process was told to stop
-	 * @param knownAfterMillis after how long those who send requests know of it, in
-	 * milliseconds
-	 * @param totalMillis how long the stop may last, without what closing down takes, in
-	 * milliseconds
-	 * @param answerMarginMillis how long before the end the last answers are given, in
-	 * milliseconds, so that they are written on a busy machine too
-	 * @return the moments
+	 * @param knownAfterMillis how long it takes until the senders of requests know of the
+	 * stop, in milliseconds
+	 * @param totalMillis how long the stop may last, excluding the time that closing down
+	 * takes, in milliseconds
+	 * @param answerMarginMillis how long before the end the final answers are given, in
+	 * milliseconds, so that they are written in time on a busy machine too
+	 * @return the schedule
 	 */
 	public static StopSchedule of(long nowMillis, long knownAfterMillis, long totalMillis, long answerMarginMillis) {
 		long endMillis = nowMillis + Math.max(0, totalMillis);
@@ -35,18 +37,18 @@
 	}
 
 	/**
-	 * Tells whether a request may be taken in. How long such requests usually take does
-	 * not count: the one that takes longer would be cut off.
+	 * Returns whether a request may be accepted. Only the deadline counts, not the usual
+	 * duration, because a request that takes longer than usual would be cut off.
 	 * @param nowMillis the time now
-	 * @param deadlineMillis until when the request may last at most
-	 * @return false if it must be refused
+	 * @param deadlineMillis the deadline of the request
+	 * @return false if the request must be rejected
 	 */
 	public boolean takes(long nowMillis, long deadlineMillis) {
 		return !known(nowMillis) || (!over(nowMillis) && deadlineMillis <= this.lastAnswersMillis);
 	}
 
 	/**
-	 * Tells whether those who send requests know of the stop.
+	 * Returns whether the senders of requests know of the stop.
 	 * @param nowMillis the time now
 	 * @return true if they do
 	 */
@@ -55,9 +57,9 @@
 	}
 
 	/**
-	 * Tells whether the end has come.
+	 * Returns whether the stop has ended.
 	 * @param nowMillis the time now
-	 * @return true if what still runs is cut off now
+	 * @return true if requests that are still running are cut off now
 	 */
 	public boolean over(long nowMillis) {
 		return nowMillis >= this.endMillis;
@@ -73,9 +75,9 @@
 	}
 
 	/**
-	 * Returns what is left of the stop.
+	 * Returns the time left until the end of the stop.
 	 * @param nowMillis the time now
-	 * @return milliseconds until its end, 0 if that has passed
+	 * @return milliseconds until the end, 0 if it has passed
 	 */
 	public long leftMillis(long nowMillis) {
 		return Math.max(0, this.endMillis - nowMillis);
--- a/decide/src/main/java/org/snowwind/decide/stop/package-info.java
+++ b/decide/src/main/java/org/snowwind/decide/stop/package-info.java
@@ -1,4 +1,4 @@
 /**
- * What a process that stops still takes in.
+ * Decides which requests a process still accepts while it shuts down gracefully.
  */
 package org.snowwind.decide.stop;
--- a/decide/src/test/java/org/snowwind/decide/blame/BlameTests.java
+++ b/decide/src/test/java/org/snowwind/decide/blame/BlameTests.java
@@ -16,7 +16,7 @@
 
 	private static final int SEEDS = 60;
 
-	private static final int PLAY_MILLIS = 60_000;
+	private static final int SIMULATED_MILLIS = 60_000;
 
 	private final List<ServerEnd> ends = new ArrayList<>();
 
@@ -34,7 +34,7 @@
 	}
 
 	@Test
-	void whoWasAtThreeEndsIsBlamed() {
+	void requestAtThreeEndsIsBlamed() {
 		ended("s1", "fatal", "a");
 		ended("s2", "fatal", "b");
 		ended("s3", "fatal");
@@ -42,7 +42,7 @@
 	}
 
 	@Test
-	void theSameEndSeenTwiceIsOne() {
+	void endReportedTwiceCountsOnce() {
 		ended("s1", "a");
 		ended("s1", "a");
 		ended("s2", "a");
@@ -50,7 +50,7 @@
 	}
 
 	@Test
-	void whatAnotherRequestExplainsIsNotBlamed() {
+	void requestWithEndsExplainedByAnotherIsNotBlamed() {
 		ended("s1", "fatal", "a");
 		ended("s2", "fatal", "a");
 		ended("s3", "fatal", "a");
@@ -60,7 +60,7 @@
 	}
 
 	@Test
-	void whoCannotBeToldApartForLongIsBlamedTogether() {
+	void indistinguishableRequestsAreAllBlamedAfterManyEnds() {
 		for (int i = 0; i < Blame.SHARED_ENDS; i++) {
 			ended("s" + i, "fatal", "a");
 		}
@@ -78,31 +78,33 @@
 	}
 
 	/**
-	 * A promise to innocent callers: of a thousand whose requests were at the end of a
-	 * server at most one is refused for it. And to all callers: three ends name a fatal
-	 * request, and those that are under way meanwhile are three more at most. Servers end
-	 * by themselves far more often here than anybody has seen.
+	 * Guards against rejecting innocent requests and against finding a fatal request too
+	 * late. Of a thousand innocent requests that were at the end of a server, at most one
+	 * is blamed. A fatal request is found after three ends, and copies of it that are in
+	 * flight at that time end at most three more servers. Servers end for unrelated
+	 * reasons far more often here than has been observed in operation.
 	 */
 	@ParameterizedTest
 	@CsvSource({ "16,8,40,1,2000,60000", "16,8,40,2,2000,60000", "6,8,15,1,2000,60000", "8,8,40,0,2000,20000",
 			"100,8,300,1,2000,60000", "4,4,6,1,3000,60000" })
 	void atMostOneInAThousandIsBlamedFalsely(int servers, int slots, int requestsPerSecond, int fatalCallers,
-			int fatalEveryMillis, int ownEndEveryMillis) {
+			int fatalEveryMillis, int unrelatedEndEveryMillis) {
 		PoolModel.Load load = new PoolModel.Load(servers, slots, requestsPerSecond, fatalCallers, fatalEveryMillis,
-				ownEndEveryMillis);
+				unrelatedEndEveryMillis);
 		long innocents = 0;
 		long falselyBlamed = 0;
-		int mostEnded = 0;
+		int maxEndedByFatal = 0;
 		for (long seed = 0; seed < SEEDS; seed++) {
 			PoolModel pool = new PoolModel(seed, load);
-			pool.play(PLAY_MILLIS);
+			pool.run(SIMULATED_MILLIS);
 			innocents += pool.innocentsAtAnEnd();
 			falselyBlamed += pool.falselyBlamed();
-			mostEnded = Math.max(mostEnded, pool.endedByFatal());
+			maxEndedByFatal = Math.max(maxEndedByFatal, pool.endedByFatal());
 		}
-		assertThat(falselyBlamed).as("%d innocents at an end, %d servers ended at most", innocents, mostEnded)
+		assertThat(falselyBlamed).as("%d innocents at an end, %d servers ended at most", innocents, maxEndedByFatal)
 			.isLessThanOrEqualTo(innocents / 1000);
-		assertThat(mostEnded).as("servers that the fatal requests ended at most").isLessThanOrEqualTo(6 * fatalCallers);
+		assertThat(maxEndedByFatal).as("servers that the fatal requests ended at most")
+			.isLessThanOrEqualTo(6 * fatalCallers);
 	}
 
 }
--- a/decide/src/test/java/org/snowwind/decide/blame/PoolModel.java
+++ b/decide/src/test/java/org/snowwind/decide/blame/PoolModel.java
@@ -9,23 +9,26 @@
 import java.util.Set;
 
 /**
- * A pool of servers, callers whose requests do nobody harm, one caller whose request ends
- * each server that runs it, and servers that end by themselves. Played in steps of time.
+ * Simulates in fixed time steps a pool of servers, callers with harmless requests,
+ * callers whose request ends each server that runs it, and servers that end for unrelated
+ * reasons.
  */
 final class PoolModel {
 
 	private static final int STEP_MILLIS = 10;
 
-	private static final int BACK_MILLIS = 3000;
+	private static final int RESTART_MILLIS = 3000;
 
 	/** How long the fatal request runs before its server ends. */
-	private static final int FATAL_MILLIS = 100;
+	private static final int FATAL_RUN_MILLIS = 100;
 
-	/** From the end of a server until all gateways know of it. */
-	private static final int KNOWN_MILLIS = 600;
+	/** The time from the end of a server until all gateways know of it. */
+	private static final int REPORT_DELAY_MILLIS = 600;
 
-	/** How often one caller's request is sent: attempts, and callers that come back. */
-	private static final int MOST_SENDS = 6;
+	/**
+	 * How often one request is sent at most, by retries of the gateway and of the caller.
+	 */
+	private static final int MAX_SENDS = 6;
 
 	private final Random random;
 
@@ -35,13 +38,13 @@
 
 	private final List<Work> waiting = new ArrayList<>();
 
-	private final Map<Integer, List<ServerEnd>> untold = new HashMap<>();
+	private final Map<Integer, List<ServerEnd>> unreported = new HashMap<>();
 
 	private final Set<ServerEnd> ends = new HashSet<>();
 
 	private final Set<ServerEnd> cleared = new HashSet<>();
 
-	private final Set<String> everAtAnEnd = new HashSet<>();
+	private final Set<String> requestsAtAnEnd = new HashSet<>();
 
 	private final Set<String> falselyBlamed = new HashSet<>();
 
@@ -49,7 +52,7 @@
 
 	private int nowMillis;
 
-	private int lives;
+	private int incarnations;
 
 	private int endedByFatal;
 
@@ -59,71 +62,71 @@
 		this.random = new Random(seed);
 		this.load = load;
 		for (int i = 0; i < load.servers(); i++) {
-			this.servers.add(new Server("life-" + this.lives++));
+			this.servers.add(new Server("life-" + this.incarnations++));
 		}
 	}
 
-	void play(int millis) {
+	void run(int millis) {
 		for (this.nowMillis = 0; this.nowMillis < millis; this.nowMillis += STEP_MILLIS) {
-			learn();
-			arrive();
+			deliverReports();
+			addRequests();
 			List.copyOf(this.waiting).forEach(this::begin);
 			this.servers.forEach(this::step);
 		}
 	}
 
-	private void learn() {
-		List<ServerEnd> news = this.untold.remove(this.nowMillis);
-		if (news != null) {
-			this.ends.addAll(news);
+	private void deliverReports() {
+		List<ServerEnd> reported = this.unreported.remove(this.nowMillis);
+		if (reported != null) {
+			this.ends.addAll(reported);
 			this.blamed = Blame.of(this.ends, this.cleared);
 			this.blamed.stream().filter((request) -> !request.startsWith("fatal")).forEach(this.falselyBlamed::add);
 		}
 	}
 
-	private void arrive() {
+	private void addRequests() {
 		if (this.random.nextInt(1000) < this.load.requestsPerSecond() * STEP_MILLIS) {
 			this.waiting.add(new Work("request-" + this.requests++, false));
 		}
 		for (int i = 0; i < this.load.fatalCallers(); i++) {
 			if ((this.nowMillis + 700 * i) % this.load.fatalEveryMillis() == 0) {
 				this.waiting.add(new Work("fatal-" + i, true));
-				this.waiting.get(this.waiting.size() - 1).sends = MOST_SENDS - 2;
+				this.waiting.get(this.waiting.size() - 1).sends = MAX_SENDS - 2;
 			}
 		}
 	}
 
 	private void begin(Work work) {
-		if (work.fromMillis > this.nowMillis) {
+		if (work.notBeforeMillis > this.nowMillis) {
 			return;
 		}
 		List<Server> up = this.servers.stream()
-			.filter((server) -> server.backMillis <= this.nowMillis && server.running.size() < this.load.slots())
+			.filter((server) -> server.upFromMillis <= this.nowMillis && server.running.size() < this.load.slots())
 			.toList();
-		if (this.blamed.contains(work.name) || work.sends >= MOST_SENDS) {
+		if (this.blamed.contains(work.name) || work.sends >= MAX_SENDS) {
 			this.waiting.remove(work);
 			return;
 		}
 		if (!up.isEmpty()) {
 			this.waiting.remove(work);
 			work.sends++;
-			work.leftMillis = work.fatal ? FATAL_MILLIS : 200 + this.random.nextInt(1500);
+			work.remainingMillis = work.fatal ? FATAL_RUN_MILLIS : 200 + this.random.nextInt(1500);
 			up.get(this.random.nextInt(up.size())).running.add(work);
 		}
 	}
 
 	private void step(Server server) {
-		boolean ends = server.backMillis <= this.nowMillis
-				&& this.random.nextInt(this.load.ownEndEveryMillis()) < STEP_MILLIS;
+		boolean ends = server.upFromMillis <= this.nowMillis
+				&& this.random.nextInt(this.load.unrelatedEndEveryMillis()) < STEP_MILLIS;
 		for (Work work : List.copyOf(server.running)) {
-			work.leftMillis -= STEP_MILLIS;
-			if (work.leftMillis <= 0 && work.fatal) {
+			work.remainingMillis -= STEP_MILLIS;
+			if (work.remainingMillis <= 0 && work.fatal) {
 				ends = true;
 				this.endedByFatal++;
 			}
-			else if (work.leftMillis <= 0) {
+			else if (work.remainingMillis <= 0) {
 				server.running.remove(work);
-				clear(work.name);
+				recordAnswer(work.name);
 			}
 		}
 		if (ends) {
@@ -131,7 +134,7 @@
 		}
 	}
 
-	private void clear(String request) {
+	private void recordAnswer(String request) {
 		List<ServerEnd> answered = this.ends.stream().filter((end) -> end.request().equals(request)).toList();
 		if (answered.size() >= Blame.CLEARED_ENDS) {
 			answered.forEach(this.ends::remove);
@@ -141,16 +144,16 @@
 
 	private void end(Server server) {
 		for (Work work : server.running) {
-			this.everAtAnEnd.add(work.name);
-			this.untold.computeIfAbsent(this.nowMillis + KNOWN_MILLIS, (time) -> new ArrayList<>())
-				.add(new ServerEnd(work.name, server.life));
-			// Sent again at once by its gateway, later by its caller.
-			work.fromMillis = this.nowMillis + ((work.sends % 2 == 1) ? STEP_MILLIS : 500);
+			this.requestsAtAnEnd.add(work.name);
+			this.unreported.computeIfAbsent(this.nowMillis + REPORT_DELAY_MILLIS, (time) -> new ArrayList<>())
+				.add(new ServerEnd(work.name, server.incarnation));
+			// The gateway retries at once, the caller later.
+			work.notBeforeMillis = this.nowMillis + ((work.sends % 2 == 1) ? STEP_MILLIS : 500);
 			this.waiting.add(work);
 		}
 		server.running.clear();
-		server.life = "life-" + this.lives++;
-		server.backMillis = this.nowMillis + BACK_MILLIS;
+		server.incarnation = "life-" + this.incarnations++;
+		server.upFromMillis = this.nowMillis + RESTART_MILLIS;
 	}
 
 	int endedByFatal() {
@@ -162,34 +165,36 @@
 	}
 
 	long innocentsAtAnEnd() {
-		return this.everAtAnEnd.stream().filter((request) -> !request.startsWith("fatal")).count();
+		return this.requestsAtAnEnd.stream().filter((request) -> !request.startsWith("fatal")).count();
 	}
 
 	/**
-	 * What a pool is put to.
+	 * The load of a simulated pool.
 	 *
 	 * @param servers how many servers it has
 	 * @param slots how many requests a server runs at once
-	 * @param requestsPerSecond how many requests come that do no harm
-	 * @param fatalCallers how many callers send a fatal request, each its own
-	 * @param fatalEveryMillis how often each of them sends it, in milliseconds
-	 * @param ownEndEveryMillis how often a server ends by itself, in milliseconds
+	 * @param requestsPerSecond how many harmless requests arrive per second
+	 * @param fatalCallers how many callers send a fatal request, each a different one
+	 * @param fatalEveryMillis the interval at which each of them sends it, in
+	 * milliseconds
+	 * @param unrelatedEndEveryMillis the mean time after which a server ends for
+	 * unrelated reasons, in milliseconds
 	 */
 	record Load(int servers, int slots, int requestsPerSecond, int fatalCallers, int fatalEveryMillis,
-			int ownEndEveryMillis) {
+			int unrelatedEndEveryMillis) {
 
 	}
 
 	private static final class Server {
 
-		private String life;
+		private String incarnation;
 
-		private int backMillis;
+		private int upFromMillis;
 
 		private final List<Work> running = new ArrayList<>();
 
-		private Server(String life) {
-			this.life = life;
+		private Server(String incarnation) {
+			this.incarnation = incarnation;
 		}
 
 	}
@@ -202,9 +207,9 @@
 
 		private int sends;
 
-		private int fromMillis;
+		private int notBeforeMillis;
 
-		private int leftMillis;
+		private int remainingMillis;
 
 		private Work(String name, boolean fatal) {
 			this.name = name;
--- a/decide/src/test/java/org/snowwind/decide/burn/BurnTests.java
+++ b/decide/src/test/java/org/snowwind/decide/burn/BurnTests.java
@@ -10,31 +10,31 @@
 
 class BurnTests {
 
-	private static Map<BurnWindow, Double> burns(double fiveMinutes, double oneHour, double sixHours) {
-		Map<BurnWindow, Double> burns = new EnumMap<>(BurnWindow.class);
-		burns.put(BurnWindow.FIVE_MINUTES, fiveMinutes);
-		burns.put(BurnWindow.ONE_HOUR, oneHour);
-		burns.put(BurnWindow.SIX_HOURS, sixHours);
-		burns.put(BurnWindow.THREE_DAYS, 0.0);
-		return burns;
+	private static Map<BurnWindow, Double> burnRates(double fiveMinutes, double oneHour, double sixHours) {
+		Map<BurnWindow, Double> burnRates = new EnumMap<>(BurnWindow.class);
+		burnRates.put(BurnWindow.FIVE_MINUTES, fiveMinutes);
+		burnRates.put(BurnWindow.ONE_HOUR, oneHour);
+		burnRates.put(BurnWindow.SIX_HOURS, sixHours);
+		burnRates.put(BurnWindow.THREE_DAYS, 0.0);
+		return burnRates;
 	}
 
 	@Test
-	void burnIsOneWhenTheBudgetLastsItsWindow() {
+	void burnRateIsOneWhenTheBudgetLastsForItsWindow() {
 		assertThat(new Tally(999, 1).burn(0.999)).isCloseTo(1, within(1e-9));
 		assertThat(Tally.NONE.burn(0.999)).isZero();
 	}
 
 	@Test
-	void aFastBurnNeedsBothItsWindows() {
-		assertThat(BurnAlert.of(burns(20, 15, 0))).isEqualTo(BurnAlert.FAST);
-		assertThat(BurnAlert.of(burns(20, 1, 0))).isEqualTo(BurnAlert.NONE);
-		assertThat(BurnAlert.of(burns(0, 15, 0))).isEqualTo(BurnAlert.NONE);
+	void fastAlertNeedsAHighRateInBothWindows() {
+		assertThat(BurnAlert.of(burnRates(20, 15, 0))).isEqualTo(BurnAlert.FAST);
+		assertThat(BurnAlert.of(burnRates(20, 1, 0))).isEqualTo(BurnAlert.NONE);
+		assertThat(BurnAlert.of(burnRates(0, 15, 0))).isEqualTo(BurnAlert.NONE);
 	}
 
 	@Test
-	void aSlowBurnIsSeenOverHours() {
-		assertThat(BurnAlert.of(burns(0, 7, 7))).isEqualTo(BurnAlert.SLOW);
+	void slowAlertIsRaisedOverHours() {
+		assertThat(BurnAlert.of(burnRates(0, 7, 7))).isEqualTo(BurnAlert.SLOW);
 	}
 
 }
--- a/decide/src/test/java/org/snowwind/decide/choice/ChoiceTests.java
+++ b/decide/src/test/java/org/snowwind/decide/choice/ChoiceTests.java
@@ -15,12 +15,12 @@
 		return new ServerView(name, true, inFlight, 0, 10, 1);
 	}
 
-	private static ServerView far(String name, int inFlight) {
+	private static ServerView remote(String name, int inFlight) {
 		return new ServerView(name, false, inFlight, 0, 10, 1);
 	}
 
 	@Test
-	void twoChoicesAvoidTheFullServer() {
+	void twoChoicesAvoidsTheLoadedServer() {
 		ServerChooser chooser = new TwoChoices(new Random(1));
 		List<ServerView> servers = List.of(server("full", 9), server("idle", 0));
 		long full = IntStream.range(0, 1000)
@@ -30,7 +30,7 @@
 	}
 
 	@Test
-	void roundRobinTakesTurns() {
+	void roundRobinChoosesEachServerInTurn() {
 		ServerChooser chooser = new RoundRobin();
 		List<ServerView> servers = List.of(server("a", 9), server("b", 0));
 		assertThat(chooser.choose(servers, 0)).isNotEqualTo(chooser.choose(servers, 0));
@@ -38,7 +38,7 @@
 	}
 
 	@Test
-	void affinityKeepsToOneServerUnlessItIsTooFull() {
+	void affinityChoosesTheSameServerUnlessItsLoadIsTooHigh() {
 		ServerChooser chooser = new PrefixAffinity(1.5, new TwoChoices(new Random(1)));
 		List<ServerView> servers = List.of(server("a", 1), server("b", 1), server("c", 1));
 		String preferred = chooser.choose(servers, 42).orElseThrow().name();
@@ -50,24 +50,24 @@
 	}
 
 	@Test
-	void whenMostLookDeadAllAreTried() {
+	void allServersAreKeptWhenMostSeemDown() {
 		List<ServerView> servers = List.of(server("a", 0), server("b", 0), server("c", 0));
 		assertThat(Candidates.healthyUnlessPanic(servers, (view) -> !"a".equals(view.name()), 0.4)).hasSize(2);
 		assertThat(Candidates.healthyUnlessPanic(servers, (view) -> "a".equals(view.name()), 0.4)).hasSize(3);
 	}
 
 	@Test
-	void workStaysNearUntilNearServersAreFull() {
-		List<ServerView> roomy = List.of(server("near", 1), far("far", 0));
-		assertThat(Candidates.nearUnlessFull(roomy, 1)).extracting(ServerView::name).containsExactly("near");
-		List<ServerView> full = List.of(server("near", 30), far("far", 0));
+	void workStaysLocalUntilLocalServersAreFull() {
+		List<ServerView> withCapacity = List.of(server("near", 1), remote("far", 0));
+		assertThat(Candidates.nearUnlessFull(withCapacity, 1)).extracting(ServerView::name).containsExactly("near");
+		List<ServerView> full = List.of(server("near", 30), remote("far", 0));
 		assertThat(Candidates.nearUnlessFull(full, 1)).extracting(ServerView::name).containsExactly("far");
-		List<ServerView> allFull = List.of(server("near", 30), far("far", 30));
+		List<ServerView> allFull = List.of(server("near", 30), remote("far", 30));
 		assertThat(Candidates.nearUnlessFull(allFull, 1)).extracting(ServerView::name).containsExactly("near");
 	}
 
 	@Test
-	void aBreakerOpensProbesAndStartsSlowly() {
+	void breakerOpensProbesAndStartsSlowly() {
 		Breaker breaker = new Breaker(new BreakerSettings(2, 100, 1000, 0.1));
 		breaker.failed(0);
 		assertThat(breaker.allows(0)).isTrue();
@@ -84,7 +84,7 @@
 	}
 
 	@Test
-	void eachFailedProbeDoublesTheTimeToTheNext() {
+	void eachFailedProbeDoublesTheOpenTime() {
 		Breaker breaker = new Breaker(new BreakerSettings(1, 100, 1000, 0.1));
 		breaker.failed(0);
 		breaker.sent();
@@ -94,7 +94,7 @@
 	}
 
 	@Test
-	void aWithdrawnProbeLetsAnotherTry() {
+	void withdrawnProbeAllowsAnotherProbe() {
 		Breaker breaker = new Breaker(new BreakerSettings(1, 100, 1000, 0.1));
 		breaker.failed(0);
 		breaker.sent();
@@ -103,7 +103,7 @@
 	}
 
 	@Test
-	void rendezvousMovesOnlyTheShareOfWhatLeft() {
+	void rendezvousMovesOnlyKeysOfTheRemovedItem() {
 		List<String> three = List.of("a", "b", "c");
 		List<String> two = List.of("a", "b");
 		for (int key = 0; key < 100; key++) {
--- a/decide/src/test/java/org/snowwind/decide/ledger/LedgerTests.java
+++ b/decide/src/test/java/org/snowwind/decide/ledger/LedgerTests.java
@@ -24,7 +24,7 @@
 	private final Ledger ledger = new Ledger(4, 2);
 
 	@BeforeEach
-	void greet() {
+	void sendFirstHeartbeat() {
 		this.ledger.heartbeat(ENTRY, 1, 0);
 	}
 
@@ -33,33 +33,33 @@
 	}
 
 	@Test
-	void allWereHeardOnlyIfEachEntryWas() {
-		Ledger subject = new Ledger(8, 8);
-		assertThat(subject.allHeardAfter(100)).isTrue();
-		subject.heartbeat(1, 1, 100);
-		subject.heartbeat(2, 1, 101);
-		assertThat(subject.allHeardAfter(99)).isTrue();
-		assertThat(subject.allHeardAfter(100)).isFalse();
-		subject.heartbeat(1, 1, 102);
-		assertThat(subject.allHeardAfter(100)).isTrue();
+	void allHeardAfterNeedsALaterHeartbeatOfEachEntry() {
+		Ledger otherLedger = new Ledger(8, 8);
+		assertThat(otherLedger.allHeardAfter(100)).isTrue();
+		otherLedger.heartbeat(1, 1, 100);
+		otherLedger.heartbeat(2, 1, 101);
+		assertThat(otherLedger.allHeardAfter(99)).isTrue();
+		assertThat(otherLedger.allHeardAfter(100)).isFalse();
+		otherLedger.heartbeat(1, 1, 102);
+		assertThat(otherLedger.allHeardAfter(100)).isTrue();
 	}
 
 	@Test
-	void anAttemptBeginsOnce() {
+	void attemptBeginsOnlyOnce() {
 		assertThat(this.ledger.begin(id(1))).isEqualTo(BeginVerdict.MAY_BEGIN);
 		assertThat(this.ledger.begin(id(1))).isEqualTo(BeginVerdict.DUPLICATE);
 		assertThat(this.ledger.revoke(id(1))).isEqualTo(RevokeOutcome.BEGAN);
 	}
 
 	@Test
-	void aRevokedAttemptNeverBegins() {
+	void revokedAttemptNeverBegins() {
 		assertThat(this.ledger.revoke(id(1))).isEqualTo(RevokeOutcome.NEVER_WILL_BEGIN);
 		assertThat(this.ledger.begin(id(1))).isEqualTo(BeginVerdict.REVOKED);
 		assertThat(this.ledger.revoke(id(1))).isEqualTo(RevokeOutcome.NEVER_WILL_BEGIN);
 	}
 
 	@Test
-	void belowTheFloorNothingBeginsAndNothingIsKept() {
+	void attemptsBelowTheFloorAreRejectedAndNotKept() {
 		this.ledger.revoke(id(1));
 		this.ledger.begin(id(2));
 		this.ledger.heartbeat(ENTRY, 3, 0);
@@ -69,14 +69,14 @@
 	}
 
 	@Test
-	void aLateHeartbeatDoesNotLowerTheFloor() {
+	void reorderedHeartbeatDoesNotLowerTheFloor() {
 		this.ledger.heartbeat(ENTRY, 5, 0);
 		this.ledger.heartbeat(ENTRY, 2, 0);
 		assertThat(this.ledger.begin(id(3))).isEqualTo(BeginVerdict.REVOKED);
 	}
 
 	@Test
-	void memoryIsBounded() {
+	void attemptsPerEntryAreBounded() {
 		for (long sequence = 1; sequence <= 4; sequence++) {
 			this.ledger.begin(id(sequence));
 		}
@@ -85,7 +85,7 @@
 	}
 
 	@Test
-	void aSilentEntryIsRefusedForGood() {
+	void silentEntryIsRetiredAndNotAcceptedAgain() {
 		this.ledger.retireSilent(1);
 		assertThat(this.ledger.begin(id(1))).isEqualTo(BeginVerdict.UNKNOWN_ENTRY);
 		this.ledger.heartbeat(ENTRY, 1, 5);
@@ -93,7 +93,7 @@
 	}
 
 	@Test
-	void workThatNeverReachedTheBackEndNeverBegins() {
+	void attemptThatNeverReachedTheBackEndCountsAsRevoked() {
 		this.ledger.begin(id(1));
 		this.ledger.neverReachedBackend(id(1));
 		assertThat(this.ledger.revoke(id(1))).isEqualTo(RevokeOutcome.NEVER_WILL_BEGIN);
@@ -101,25 +101,25 @@
 	}
 
 	@Property(seed = "20261202")
-	void inAnyOrderAnAttemptBeginsAtMostOnceAndNeverAgainstAPromise(@ForAll("messages") List<Message> messages) {
-		Ledger subject = new Ledger(4, 2);
+	void attemptBeginsAtMostOnceAndNeverAfterItWasRevoked(@ForAll("messages") List<Message> messages) {
+		Ledger otherLedger = new Ledger(4, 2);
 		Set<Long> begun = new HashSet<>();
-		Set<Long> promisedNotToBegin = new HashSet<>();
+		Set<Long> revoked = new HashSet<>();
 		for (Message message : messages) {
 			long sequence = message.sequence();
 			switch (message.kind()) {
-				case HEARTBEAT -> subject.heartbeat(ENTRY, sequence, message.nowMillis());
-				case RETIRE -> subject.retireSilent(message.nowMillis());
+				case HEARTBEAT -> otherLedger.heartbeat(ENTRY, sequence, message.nowMillis());
+				case RETIRE -> otherLedger.retireSilent(message.nowMillis());
 				case BEGIN -> {
-					if (subject.begin(id(sequence)) == BeginVerdict.MAY_BEGIN) {
-						assertThat(promisedNotToBegin).doesNotContain(sequence);
+					if (otherLedger.begin(id(sequence)) == BeginVerdict.MAY_BEGIN) {
+						assertThat(revoked).doesNotContain(sequence);
 						assertThat(begun.add(sequence)).isTrue();
 					}
 				}
 				case REVOKE -> {
-					if (subject.revoke(id(sequence)) == RevokeOutcome.NEVER_WILL_BEGIN) {
+					if (otherLedger.revoke(id(sequence)) == RevokeOutcome.NEVER_WILL_BEGIN) {
 						assertThat(begun).doesNotContain(sequence);
-						promisedNotToBegin.add(sequence);
+						revoked.add(sequence);
 					}
 				}
 			}
--- a/decide/src/test/java/org/snowwind/decide/notice/ServerBackoffTests.java
+++ b/decide/src/test/java/org/snowwind/decide/notice/ServerBackoffTests.java
@@ -18,7 +18,7 @@
 	}
 
 	@Test
-	void serverThatAskedForNothingIsSentRequests() {
+	void serverWithoutBackoffIsSentRequests() {
 		assertThat(this.backoff.admits(START)).isTrue();
 		this.backoff.sent(START);
 		assertThat(this.backoff.admits(START)).isTrue();
@@ -56,7 +56,7 @@
 	}
 
 	@Test
-	void returningProcessDoesNotSendFasterThanItsPace() {
+	void processDoesNotExceedItsRateDuringTheRampUp() {
 		this.backoff.retryAfter(1000, new ReturnPace(400, 150), START);
 		assertThat(this.backoff.isActive(START + 1000)).isFalse();
 		assertThat(this.backoff.admits(START + 1149)).isFalse();
@@ -65,7 +65,7 @@
 		assertThat(this.backoff.admits(START + 1151)).isFalse();
 		assertThat(this.backoff.admits(START + 1550)).isTrue();
 		this.backoff.sent(START + 2800);
-		assertThat(this.backoff.admits(START + 2801)).as("four spreads after the return").isTrue();
+		assertThat(this.backoff.admits(START + 2801)).as("four spreads after the ramp-up started").isTrue();
 	}
 
 }
--- a/decide/src/test/java/org/snowwind/decide/outcome/AnsweredRequestIsFinishedTests.java
+++ b/decide/src/test/java/org/snowwind/decide/outcome/AnsweredRequestIsFinishedTests.java
@@ -10,14 +10,15 @@
 	private final NextStepRule rule = new AnsweredRequestIsFinished();
 
 	@Test
-	void answeredIsFinished() {
-		assertThat(this.rule.decide(Situations.after(AttemptEnd.ANSWERED, false)))
+	void answeredRequestIsFinished() {
+		assertThat(this.rule.decide(RetryContexts.after(AttemptEnd.ANSWERED, false)))
 			.isEqualTo(NextStep.finish(Disclosure.ANSWERED, null));
 	}
 
 	@Test
-	void othersAreNotItsBusiness() {
-		assertThat(this.rule.decide(Situations.after(AttemptEnd.BEGAN_THEN_BROKE, true))).isSameAs(NextStep.NO_OPINION);
+	void doesNotApplyToOtherEnds() {
+		assertThat(this.rule.decide(RetryContexts.after(AttemptEnd.BEGAN_THEN_BROKE, true)))
+			.isSameAs(NextStep.NOT_APPLICABLE);
 	}
 
 }
--- a/decide/src/test/java/org/snowwind/decide/outcome/BegunWorkIsRepeatedOnlyIfRepeatableTests.java
+++ b/decide/src/test/java/org/snowwind/decide/outcome/BegunWorkIsRepeatedOnlyIfRepeatableTests.java
@@ -11,20 +11,21 @@
 	private final NextStepRule rule = new BegunWorkIsRepeatedOnlyIfRepeatable();
 
 	@Test
-	void begunWorkEndsUnknown() {
+	void begunWorkEndsTheRequestAsUnknown() {
 		NextStep unknown = NextStep.finish(Disclosure.UNKNOWN, ProblemKind.BACKEND_FAILED);
-		assertThat(this.rule.decide(Situations.after(AttemptEnd.BEGAN_THEN_BROKE, false))).isEqualTo(unknown);
-		assertThat(this.rule.decide(Situations.after(AttemptEnd.LOST_FOR_GOOD, false))).isEqualTo(unknown);
+		assertThat(this.rule.decide(RetryContexts.after(AttemptEnd.BEGAN_THEN_BROKE, false))).isEqualTo(unknown);
+		assertThat(this.rule.decide(RetryContexts.after(AttemptEnd.LOST_FOR_GOOD, false))).isEqualTo(unknown);
 	}
 
 	@Test
-	void provedNotRunIsNotItsBusiness() {
-		assertThat(this.rule.decide(Situations.after(AttemptEnd.REVOKED, false))).isSameAs(NextStep.NO_OPINION);
+	void doesNotApplyToWorkThatProvablyDidNotRun() {
+		assertThat(this.rule.decide(RetryContexts.after(AttemptEnd.REVOKED, false))).isSameAs(NextStep.NOT_APPLICABLE);
 	}
 
 	@Test
-	void repeatableIsNotItsBusiness() {
-		assertThat(this.rule.decide(Situations.after(AttemptEnd.LOST_FOR_GOOD, true))).isSameAs(NextStep.NO_OPINION);
+	void doesNotApplyToRepeatableWork() {
+		assertThat(this.rule.decide(RetryContexts.after(AttemptEnd.LOST_FOR_GOOD, true)))
+			.isSameAs(NextStep.NOT_APPLICABLE);
 	}
 
 }
--- a/decide/src/test/java/org/snowwind/decide/outcome/DeliveredBytesAreOnlyContinuedTests.java
+++ b/decide/src/test/java/org/snowwind/decide/outcome/DeliveredBytesAreOnlyContinuedTests.java
@@ -12,28 +12,29 @@
 
 	@Test
 	void repeatableStreamIsResumed() {
-		assertThat(this.rule.decide(Situations.delivered(AttemptEnd.BEGAN_THEN_BROKE, true, true)))
+		assertThat(this.rule.decide(RetryContexts.delivered(AttemptEnd.BEGAN_THEN_BROKE, true, true)))
 			.isSameAs(NextStep.RESUME);
 	}
 
 	@Test
-	void otherStreamIsBrokenOff() {
-		NextStep brokenOff = NextStep.finish(Disclosure.FAILED, ProblemKind.BACKEND_FAILED);
-		assertThat(this.rule.decide(Situations.delivered(AttemptEnd.BEGAN_THEN_BROKE, true, false)))
-			.isEqualTo(brokenOff);
-		assertThat(this.rule.decide(Situations.delivered(AttemptEnd.BEGAN_THEN_BROKE, false, true)))
-			.isEqualTo(brokenOff);
+	void streamThatCannotBeResumedEndsTheRequest() {
+		NextStep failed = NextStep.finish(Disclosure.FAILED, ProblemKind.BACKEND_FAILED);
+		assertThat(this.rule.decide(RetryContexts.delivered(AttemptEnd.BEGAN_THEN_BROKE, true, false)))
+			.isEqualTo(failed);
+		assertThat(this.rule.decide(RetryContexts.delivered(AttemptEnd.BEGAN_THEN_BROKE, false, true)))
+			.isEqualTo(failed);
 	}
 
 	@Test
-	void whatBreaksOffAtTheDeadlineSaysSo() {
+	void streamThatFailsAtTheDeadlineReportsTheDeadline() {
 		Situation late = new Situation(AttemptEnd.BEGAN_THEN_BROKE, true, true, 100, 1, 3, 0, true, true, false, null);
 		assertThat(this.rule.decide(late)).isEqualTo(NextStep.finish(Disclosure.FAILED, ProblemKind.DEADLINE));
 	}
 
 	@Test
-	void nothingDeliveredIsNotItsBusiness() {
-		assertThat(this.rule.decide(Situations.after(AttemptEnd.BEGAN_THEN_BROKE, true))).isSameAs(NextStep.NO_OPINION);
+	void doesNotApplyBeforeBytesAreDelivered() {
+		assertThat(this.rule.decide(RetryContexts.after(AttemptEnd.BEGAN_THEN_BROKE, true)))
+			.isSameAs(NextStep.NOT_APPLICABLE);
 	}
 
 }
--- a/decide/src/test/java/org/snowwind/decide/outcome/LostAttemptIsRevokedFirstTests.java
+++ b/decide/src/test/java/org/snowwind/decide/outcome/LostAttemptIsRevokedFirstTests.java
@@ -9,20 +9,20 @@
 	private final NextStepRule rule = new LostAttemptIsRevokedFirst();
 
 	@Test
-	void lostWorkIsRevoked() {
-		assertThat(this.rule.decide(Situations.after(AttemptEnd.SENT_THEN_LOST, false))).isSameAs(NextStep.REVOKE);
-		assertThat(this.rule.decide(Situations.spent(AttemptEnd.SENT_THEN_LOST, true, 0, null)))
+	void lostAttemptIsRevoked() {
+		assertThat(this.rule.decide(RetryContexts.after(AttemptEnd.SENT_THEN_LOST, false))).isSameAs(NextStep.REVOKE);
+		assertThat(this.rule.decide(RetryContexts.spent(AttemptEnd.SENT_THEN_LOST, true, 0, null)))
 			.isSameAs(NextStep.REVOKE);
 	}
 
 	@Test
-	void repeatableWorkNeedsNoProof() {
-		assertThat(this.rule.decide(Situations.after(AttemptEnd.SENT_THEN_LOST, true))).isSameAs(NextStep.SEND);
+	void repeatableWorkIsRetriedWithoutRevoking() {
+		assertThat(this.rule.decide(RetryContexts.after(AttemptEnd.SENT_THEN_LOST, true))).isSameAs(NextStep.SEND);
 	}
 
 	@Test
-	void knownEndsAreNotItsBusiness() {
-		assertThat(this.rule.decide(Situations.after(AttemptEnd.REFUSED, false))).isSameAs(NextStep.NO_OPINION);
+	void doesNotApplyToAttemptsWithAKnownEnd() {
+		assertThat(this.rule.decide(RetryContexts.after(AttemptEnd.REFUSED, false))).isSameAs(NextStep.NOT_APPLICABLE);
 	}
 
 }
--- a/decide/src/test/java/org/snowwind/decide/outcome/NextStepRulesTests.java
+++ b/decide/src/test/java/org/snowwind/decide/outcome/NextStepRulesTests.java
@@ -11,43 +11,43 @@
 class NextStepRulesTests {
 
 	@Property(seed = "20261202")
-	void workThatMayHaveBegunIsSentAgainOnlyIfRepeatable(@ForAll AttemptEnd end, @ForAll boolean resumable,
+	void workThatMayHaveBegunIsNotRetriedUnlessRepeatable(@ForAll AttemptEnd end, @ForAll boolean resumable,
 			@ForAll @LongRange(min = 0, max = 2) long bytes, @ForAll @IntRange(min = 1, max = 4) int attempts,
 			@ForAll @LongRange(min = -1, max = 1) long remaining, @ForAll boolean budget, @ForAll boolean server) {
-		Situation situation = new Situation(end, false, resumable, bytes, attempts, 3, remaining, budget, server, false,
+		Situation context = new Situation(end, false, resumable, bytes, attempts, 3, remaining, budget, server, false,
 				null);
-		NextStep step = NextStepRules.decide(situation);
+		NextStep step = NextStepRules.decide(context);
 		if (!end.provesNotRun()) {
 			assertThat(step).isNotSameAs(NextStep.SEND).isNotSameAs(NextStep.RESUME);
 		}
 	}
 
 	@Property(seed = "20261202")
-	void notRunIsSaidOnlyOnProof(@ForAll AttemptEnd end, @ForAll boolean repeatable, @ForAll boolean resumable,
+	void notRunIsReportedOnlyWithProof(@ForAll AttemptEnd end, @ForAll boolean repeatable, @ForAll boolean resumable,
 			@ForAll @LongRange(min = 0, max = 2) long bytes, @ForAll @IntRange(min = 1, max = 4) int attempts,
 			@ForAll @LongRange(min = -1, max = 1) long remaining, @ForAll boolean budget, @ForAll boolean server) {
-		Situation situation = new Situation(end, repeatable, resumable, bytes, attempts, 3, remaining, budget, server,
+		Situation context = new Situation(end, repeatable, resumable, bytes, attempts, 3, remaining, budget, server,
 				false, null);
-		NextStep step = NextStepRules.decide(situation);
+		NextStep step = NextStepRules.decide(context);
 		if (step instanceof NextStep.Finish finish && finish.disclosure() == Disclosure.NOT_RUN) {
 			assertThat(end.provesNotRun()).isTrue();
 		}
 	}
 
 	@Property(seed = "20261202")
-	void deliveredBytesAreNeverFollowedByARestart(@ForAll AttemptEnd end, @ForAll boolean repeatable,
+	void partlyDeliveredAnswerIsNeverRestarted(@ForAll AttemptEnd end, @ForAll boolean repeatable,
 			@ForAll boolean resumable, @ForAll @IntRange(min = 1, max = 4) int attempts,
 			@ForAll @LongRange(min = -1, max = 1) long remaining, @ForAll boolean budget, @ForAll boolean server) {
-		Situation situation = new Situation(end, repeatable, resumable, 1, attempts, 3, remaining, budget, server,
-				false, null);
-		assertThat(NextStepRules.decide(situation)).isNotSameAs(NextStep.SEND);
+		Situation context = new Situation(end, repeatable, resumable, 1, attempts, 3, remaining, budget, server, false,
+				null);
+		assertThat(NextStepRules.decide(context)).isNotSameAs(NextStep.SEND);
 	}
 
 	@Property(seed = "20261202")
-	void withoutTimeNothingIsSent(@ForAll AttemptEnd end, @ForAll boolean repeatable, @ForAll boolean resumable,
+	void nothingIsSentWithoutTimeLeft(@ForAll AttemptEnd end, @ForAll boolean repeatable, @ForAll boolean resumable,
 			@ForAll @LongRange(min = 0, max = 2) long bytes) {
-		Situation situation = new Situation(end, repeatable, resumable, bytes, 1, 3, 0, true, true, false, null);
-		assertThat(NextStepRules.decide(situation)).isNotSameAs(NextStep.SEND).isNotSameAs(NextStep.RESUME);
+		Situation context = new Situation(end, repeatable, resumable, bytes, 1, 3, 0, true, true, false, null);
+		assertThat(NextStepRules.decide(context)).isNotSameAs(NextStep.SEND).isNotSameAs(NextStep.RESUME);
 	}
 
 }
--- a/decide/src/test/java/org/snowwind/decide/outcome/Situations.java
+++ b/decide/src/test/java/org/snowwind/decide/outcome/RetryContexts.java
@@ -3,11 +3,11 @@
 import org.snowwind.model.outcome.ProblemKind;
 
 /**
- * Situations for tests, each a small change of a common one.
+ * Request states for tests, which differ from a common one in a few values.
  */
-final class Situations {
+final class RetryContexts {
 
-	private Situations() {
+	private RetryContexts() {
 	}
 
 	static Situation after(AttemptEnd end, boolean repeatable) {
--- a/decide/src/test/java/org/snowwind/decide/outcome/SpentBudgetEndsTheRequestTests.java
+++ b/decide/src/test/java/org/snowwind/decide/outcome/SpentBudgetEndsTheRequestTests.java
@@ -11,25 +11,25 @@
 	private final NextStepRule rule = new SpentBudgetEndsTheRequest();
 
 	@Test
-	void refusedWorkSaysWhy() {
-		assertThat(this.rule.decide(Situations.spent(AttemptEnd.REFUSED, true, 500, ProblemKind.OVERLOADED)))
+	void rejectedRequestReportsTheReason() {
+		assertThat(this.rule.decide(RetryContexts.spent(AttemptEnd.REFUSED, true, 500, ProblemKind.OVERLOADED)))
 			.isEqualTo(NextStep.finish(Disclosure.NOT_RUN, ProblemKind.OVERLOADED));
 	}
 
 	@Test
-	void revokedAtTheDeadlineDidNotRun() {
-		assertThat(this.rule.decide(Situations.spent(AttemptEnd.REVOKED, false, 0, null)))
+	void revokedRequestIsReportedAsNotRunAtTheDeadline() {
+		assertThat(this.rule.decide(RetryContexts.spent(AttemptEnd.REVOKED, false, 0, null)))
 			.isEqualTo(NextStep.finish(Disclosure.NOT_RUN, ProblemKind.DEADLINE_NOT_RUN));
 	}
 
 	@Test
-	void begunWorkIsNeverSaidNotToHaveRun() {
-		assertThat(this.rule.decide(Situations.spent(AttemptEnd.BEGAN_THEN_BROKE, true, 0, null)))
+	void begunWorkIsNeverReportedAsNotRun() {
+		assertThat(this.rule.decide(RetryContexts.spent(AttemptEnd.BEGAN_THEN_BROKE, true, 0, null)))
 			.isEqualTo(NextStep.finish(Disclosure.UNKNOWN, ProblemKind.DEADLINE));
 	}
 
 	@Test
-	void aRefusalSpeaksForTheLastAttemptOnly() {
+	void rejectionDoesNotHideThatAnEarlierAttemptMayHaveRun() {
 		Situation ranBefore = new Situation(AttemptEnd.REFUSED, true, true, 0, 3, 3, 500, true, true, true,
 				ProblemKind.OVERLOADED);
 		assertThat(this.rule.decide(ranBefore))
@@ -37,8 +37,8 @@
 	}
 
 	@Test
-	void affordableWorkIsNotItsBusiness() {
-		assertThat(this.rule.decide(Situations.after(AttemptEnd.REFUSED, false))).isSameAs(NextStep.NO_OPINION);
+	void doesNotApplyWhileAnotherAttemptIsAffordable() {
+		assertThat(this.rule.decide(RetryContexts.after(AttemptEnd.REFUSED, false))).isSameAs(NextStep.NOT_APPLICABLE);
 	}
 
 }
--- a/decide/src/test/java/org/snowwind/decide/stop/StopScheduleTests.java
+++ b/decide/src/test/java/org/snowwind/decide/stop/StopScheduleTests.java
@@ -20,63 +20,63 @@
 
 	private final StopSchedule stop = StopSchedule.of(BEGAN_MILLIS, KNOWN_AFTER_MILLIS, TOTAL_MILLIS, 0);
 
-	private static boolean takes(StopSchedule stop, long elapsedMillis, long neededMillis) {
+	private static boolean admits(StopSchedule stop, long elapsedMillis, long neededMillis) {
 		long nowMillis = stop.beganMillis() + elapsedMillis;
 		return stop.takes(nowMillis, nowMillis + neededMillis);
 	}
 
 	@Test
-	void whileNobodyCanKnowOfTheStopAllIsTaken() {
+	void everyRequestIsAcceptedBeforeSendersKnowOfTheStop() {
 		assertThat(this.stop.known(BEGAN_MILLIS + KNOWN_AFTER_MILLIS - 1)).isFalse();
-		assertThat(takes(this.stop, KNOWN_AFTER_MILLIS - 1, 60_000)).isTrue();
+		assertThat(admits(this.stop, KNOWN_AFTER_MILLIS - 1, 60_000)).isTrue();
 	}
 
 	@Test
-	void onceKnownOnlyWhatSurelyEndsInTimeIsTaken() {
+	void onlyRequestsThatEndInTimeAreAcceptedOnceSendersKnow() {
 		assertThat(this.stop.known(BEGAN_MILLIS + KNOWN_AFTER_MILLIS)).isTrue();
-		assertThat(takes(this.stop, KNOWN_AFTER_MILLIS, TOTAL_MILLIS - KNOWN_AFTER_MILLIS)).isTrue();
-		assertThat(takes(this.stop, KNOWN_AFTER_MILLIS, TOTAL_MILLIS - KNOWN_AFTER_MILLIS + 1)).isFalse();
+		assertThat(admits(this.stop, KNOWN_AFTER_MILLIS, TOTAL_MILLIS - KNOWN_AFTER_MILLIS)).isTrue();
+		assertThat(admits(this.stop, KNOWN_AFTER_MILLIS, TOTAL_MILLIS - KNOWN_AFTER_MILLIS + 1)).isFalse();
 	}
 
 	@Test
-	void theLastAnswersNeedTimeToBeWritten() {
+	void requestsMustEndByTheStartOfTheAnswerMargin() {
 		StopSchedule withMargin = StopSchedule.of(BEGAN_MILLIS, KNOWN_AFTER_MILLIS, TOTAL_MILLIS, 100);
 		assertThat(withMargin.lastAnswersMillis()).isEqualTo(BEGAN_MILLIS + TOTAL_MILLIS - 100);
-		assertThat(takes(withMargin, KNOWN_AFTER_MILLIS, 4900)).isTrue();
-		assertThat(takes(withMargin, KNOWN_AFTER_MILLIS, 4901)).isFalse();
+		assertThat(admits(withMargin, KNOWN_AFTER_MILLIS, 4900)).isTrue();
+		assertThat(admits(withMargin, KNOWN_AFTER_MILLIS, 4901)).isFalse();
 	}
 
 	@Test
-	void atTheEndNothingIsTaken() {
+	void nothingIsAcceptedAtTheEnd() {
 		assertThat(this.stop.over(BEGAN_MILLIS + TOTAL_MILLIS)).isTrue();
-		assertThat(takes(this.stop, TOTAL_MILLIS, 0)).isFalse();
+		assertThat(admits(this.stop, TOTAL_MILLIS, 0)).isFalse();
 	}
 
 	@Test
-	void aStopThatIsShorterThanTheNoticeTakesNothingAfterItsEnd() {
+	void stopShorterThanTheNoticePeriodAcceptsNothingAtItsEnd() {
 		StopSchedule shortStop = StopSchedule.of(BEGAN_MILLIS, KNOWN_AFTER_MILLIS, 100, 0);
 		assertThat(shortStop.known(BEGAN_MILLIS + 100)).isTrue();
-		assertThat(takes(shortStop, 100, 1)).isFalse();
+		assertThat(admits(shortStop, 100, 1)).isFalse();
 	}
 
 	@Test
-	void aStopWithoutTimeEndsAtOnce() {
+	void stopWithoutTimeEndsAtOnce() {
 		assertThat(StopSchedule.of(5, 3000, -600, 100)).isEqualTo(new StopSchedule(5, 5, 5, 5));
 	}
 
 	@Test
-	void whatIsLeftNeverFallsBelowNothing() {
+	void remainingTimeIsNeverNegative() {
 		assertThat(this.stop.leftMillis(BEGAN_MILLIS + 7000)).isEqualTo(1000);
 		assertThat(this.stop.elapsedMillis(BEGAN_MILLIS + 7000)).isEqualTo(7000);
 		assertThat(this.stop.leftMillis(BEGAN_MILLIS + 14_000)).isZero();
 	}
 
 	@Property(seed = "20261202")
-	void whatIsTakenOnceTheStopIsKnownEndsBeforeIt(@ForAll @LongRange(max = 10_000) long knownAfterMillis,
+	void requestsAcceptedOnceSendersKnowEndInTime(@ForAll @LongRange(max = 10_000) long knownAfterMillis,
 			@ForAll @LongRange(max = 10_000) long totalMillis, @ForAll @LongRange(max = 500) long marginMillis,
 			@ForAll @LongRange(max = 12_000) long atMillis, @ForAll @LongRange(max = 12_000) long neededMillis) {
-		StopSchedule subject = StopSchedule.of(0, knownAfterMillis, totalMillis, marginMillis);
-		if (subject.known(atMillis) && takes(subject, atMillis, neededMillis)) {
+		StopSchedule schedule = StopSchedule.of(0, knownAfterMillis, totalMillis, marginMillis);
+		if (schedule.known(atMillis) && admits(schedule, atMillis, neededMillis)) {
 			assertThat(atMillis + neededMillis).isLessThanOrEqualTo(Math.max(0, totalMillis - marginMillis));
 		}
 	}
