--- a/gateway/src/main/java/org/snowwind/gateway/request/AnswerBuffer.java
+++ b/gateway/src/main/java/org/snowwind/gateway/request/AnswerBuffer.java
@@ -9,17 +9,18 @@
 import org.snowwind.http.server.HttpExchange;
 
 /**
- * What one attempt has received of its answer: the head, and what is held of the body.
+ * Buffers the response of one attempt: its head and the part of the body that was not
+ * passed on yet.
  *
  * <p>
- * The body of a plain answer is held until it is whole, so that another server can still
- * answer in full; of a stream, an unfinished event is held. The buffer is made with the
- * head of an attempt's answer and dropped with the attempt, so that nothing of it can
- * reach the answer of another server.
+ * The body of a plain response is held until it is complete, so that another server can
+ * still send the full response if this attempt fails. Of a stream, only an incomplete
+ * event is held. The buffer is created with the response head of an attempt and discarded
+ * with the attempt, so that none of its content can reach the response of another server.
  */
 final class AnswerBuffer {
 
-	/** The HTTP status of success. */
+	/** HTTP status 200. */
 	static final int OK = 200;
 
 	private static final String LENGTH_HEADER = "content-length";
@@ -30,37 +31,38 @@
 
 	private final Map<String, String> headers;
 
-	private final EventStream events;
+	private final EventStream parser;
 
 	private final ByteArrayOutputStream body = new ByteArrayOutputStream();
 
-	private boolean whole;
+	private boolean complete;
 
 	private AnswerBuffer(int status, Map<String, String> headers, EventStream events) {
 		this.status = status;
 		this.headers = Map.copyOf(headers);
-		this.events = events;
+		this.parser = events;
 	}
 
 	/**
-	 * Creates an answer that is held until it is whole.
+	 * Creates the buffer of a response that is held until it is complete.
 	 * @param status the HTTP status
 	 * @param headers the headers by lower-case name
-	 * @return the answer, without a body
+	 * @return the buffer, with an empty body
 	 */
-	static AnswerBuffer plain(int status, Map<String, String> headers) {
+	static AnswerBuffer ofPlainResponse(int status, Map<String, String> headers) {
 		return new AnswerBuffer(status, headers, null);
 	}
 
 	/**
-	 * Creates a successful answer whose events are passed on as they arrive. Its length
-	 * is not passed on: it frames what one server sends, and others may go on.
+	 * Creates the buffer of a successful response whose events are passed on as they
+	 * arrive. Its content length is dropped: it covers only the bytes of this server, and
+	 * other servers may continue the stream.
 	 * @param headers the headers by lower-case name
-	 * @param afterId the event after which the stream is continued, {@code null} if it
-	 * begins
-	 * @return the answer, without events
+	 * @param afterId id of the event after which the stream continues; {@code null} to
+	 * start at the beginning
+	 * @return the buffer, without events
 	 */
-	static AnswerBuffer stream(Map<String, String> headers, String afterId) {
+	static AnswerBuffer ofStream(Map<String, String> headers, String afterId) {
 		Map<String, String> withoutLength = new HashMap<>(headers);
 		withoutLength.remove(LENGTH_HEADER);
 		return new AnswerBuffer(OK, withoutLength, new EventStream(afterId));
@@ -74,66 +76,67 @@
 		return this.headers;
 	}
 
-	boolean stream() {
-		return this.events != null;
+	boolean isStream() {
+		return this.parser != null;
 	}
 
 	/**
-	 * Returns what kind of content the body is.
-	 * @return the media type without parameters, empty if the answer does not say
+	 * Returns the media type of the body.
+	 * @return the media type in lower case without parameters; empty if the response has
+	 * no content type
 	 */
 	String mediaType() {
 		return this.headers.getOrDefault(TYPE_HEADER, "").split(";", 2)[0].strip().toLowerCase(Locale.ROOT);
 	}
 
 	/**
-	 * Takes bytes of the body.
+	 * Appends bytes of the body.
 	 * @param bytes the bytes
-	 * @return the events that are whole now and that the caller does not have; none for a
-	 * plain answer
+	 * @return the events that are now complete and that the caller does not have yet;
+	 * empty for a plain response
 	 */
-	List<StreamEvent> take(byte[] bytes) {
-		if (stream()) {
-			return this.events.take(bytes);
+	List<StreamEvent> append(byte[] bytes) {
+		if (isStream()) {
+			return this.parser.parse(bytes);
 		}
 		this.body.writeBytes(bytes);
 		return List.of();
 	}
 
 	/**
-	 * Tells whether a stream would be broken if it ended here.
-	 * @return true if it would, false for a plain answer
+	 * Returns whether the stream would be incomplete if it ended now.
+	 * @return true if it would be incomplete; always false for a plain response
 	 */
-	boolean unfinished() {
-		return stream() && this.events.unfinished();
+	boolean isIncomplete() {
+		return isStream() && this.parser.isIncomplete();
 	}
 
 	/**
-	 * Tells whether another answer began within a stream.
-	 * @return true if it did, false for a plain answer
+	 * Returns whether the head of a second response was found within the stream.
+	 * @return true if it was found; always false for a plain response
 	 */
-	boolean overrun() {
-		return stream() && this.events.overrun();
+	boolean hasSecondResponse() {
+		return isStream() && this.parser.hasSecondResponse();
 	}
 
 	/**
-	 * Counts the bytes that are held because their event is not whole yet.
-	 * @return a number of bytes, 0 for a plain answer
+	 * Returns how many bytes are held because their event is incomplete.
+	 * @return the number of bytes; 0 for a plain response
 	 */
 	int heldBytes() {
-		return stream() ? this.events.heldBytes() : 0;
+		return isStream() ? this.parser.heldBytes() : 0;
 	}
 
-	void complete() {
-		this.whole = true;
+	void markComplete() {
+		this.complete = true;
 	}
 
 	/**
-	 * Tells whether the answer can be given to the caller as it stands.
-	 * @return true if it is whole
+	 * Returns whether the response can be sent to the caller from this buffer.
+	 * @return true if it is a complete plain response
 	 */
-	boolean deliverable() {
-		return this.whole && !stream();
+	boolean isDeliverable() {
+		return this.complete && !isStream();
 	}
 
 	void deliver(HttpExchange exchange) {
--- a/gateway/src/main/java/org/snowwind/gateway/request/AnswerHead.java
+++ b/gateway/src/main/java/org/snowwind/gateway/request/AnswerHead.java
@@ -3,14 +3,18 @@
 import org.snowwind.decide.notice.ServerNotice;
 
 /**
- * What a server says of its answer.
+ * Metadata that a backend server sends in the headers of a response.
  *
- * @param refused whether it promises that it did not run the request
- * @param elsewhere whether it is not the run of the server that was addressed
- * @param signed whether the answer bears the server's signature
- * @param requestId the id of the request that it answers; {@code null} if it does not say
- * @param encoded whether the body is not as the server made it
- * @param notice what it says about the near future of the server
+ * @param refused whether the server promises that it did not run the request
+ * @param elsewhere whether the response does not come from the server incarnation that
+ * was addressed
+ * @param signed whether the response carries the server's signature
+ * @param requestId the id of the request that the response belongs to; {@code null} if it
+ * has none
+ * @param encoded whether the body has a content encoding, so that it is not as the server
+ * produced it
+ * @param notice the server's announcements about its availability, such as rate limits or
+ * its shutdown
  */
 public record AnswerHead(boolean refused, boolean elsewhere, boolean signed, String requestId, boolean encoded,
 		ServerNotice notice) {
@@ -20,19 +24,19 @@
 	private static final int REDIRECT = 300;
 
 	/**
-	 * Tells whether the answer says that it is to another request.
+	 * Returns whether the response belongs to another request.
 	 * @param expectedId the request's id, may be {@code null}
-	 * @return true if it bears another id
+	 * @return true if both ids are present and differ
 	 */
 	public boolean toAnotherThan(String expectedId) {
 		return this.requestId != null && expectedId != null && !this.requestId.equals(expectedId);
 	}
 
 	/**
-	 * Tells whether the answer can be that of a request.
+	 * Returns whether the response can be accepted as the server's response to a request.
 	 * @param status the HTTP status
 	 * @param expectedId the request's id, may be {@code null}
-	 * @return false if it must not be passed on
+	 * @return false if the response must not be passed on
 	 */
 	public boolean credible(int status, String expectedId) {
 		boolean success = status >= OK && status < REDIRECT;
--- a/gateway/src/main/java/org/snowwind/gateway/request/Attempt.java
+++ b/gateway/src/main/java/org/snowwind/gateway/request/Attempt.java
@@ -15,7 +15,7 @@
 import org.snowwind.model.event.EventLog;
 
 /**
- * One attempt of a request at one server. Confined to the loop.
+ * One attempt to run a request on one backend server. Confined to the event loop.
  */
 final class Attempt implements UpstreamListener {
 
@@ -35,34 +35,38 @@
 
 	private UpstreamCall call;
 
-	private Future<?> timer;
+	private Future<?> timeoutTimer;
 
 	private int status;
 
 	private long receivedBytes;
 
-	private AnswerBuffer answer;
+	private AnswerBuffer response;
 
 	private final EventTimes eventTimes;
 
 	private String cause = "";
 
-	/** Whether we have ended it, so that its connection tells nothing of its server. */
-	private boolean givenUp;
+	/**
+	 * Whether this gateway closed the connection, so that its end says nothing about the
+	 * server.
+	 */
+	private boolean abortedByGateway;
 
-	private boolean over;
+	private boolean ended;
 
 	private boolean streaming;
 
-	private long silenceMillis;
+	private long idleTimeoutMillis;
 
 	/**
 	 * Creates an attempt that is not sent yet.
-	 * @param context what requests work with
+	 * @param context the components that requests share
 	 * @param request the request
-	 * @param backend the server
-	 * @param afterId the event after which a stream is continued, {@code null} to begin
-	 * @param listener is told how it fares
+	 * @param backend the backend server
+	 * @param afterId id of the event after which the stream continues; {@code null} to
+	 * start at the beginning
+	 * @param listener notified of the response and of the end of the attempt
 	 */
 	Attempt(RequestContext context, CallerRequest request, Backend backend, String afterId, AttemptListener listener) {
 		this.context = context;
@@ -76,16 +80,17 @@
 
 	/**
 	 * Sends the attempt.
-	 * @param remainingMillis what is left of the request's time, in milliseconds
-	 * @param patience how long the server may be silent
+	 * @param remainingMillis the time until the request's deadline, in milliseconds
+	 * @param timeouts how long the server may send nothing
 	 */
-	void send(long remainingMillis, Patience patience) {
+	void send(long remainingMillis, Timeouts timeouts) {
 		this.backend.sent(this.sentMillis);
-		this.silenceMillis = patience.pauseMillis();
-		this.timer = this.context.loop().later(() -> giveUp("no answer"), patience.firstByteMillis());
-		AttemptHead head = new AttemptHead(this.backend.id(), remainingMillis, this.request.organisation(),
+		this.idleTimeoutMillis = timeouts.idleMillis();
+		this.timeoutTimer = this.context.loop()
+			.later(() -> abort("no response head within the timeout"), timeouts.firstByteMillis());
+		AttemptHead attemptMetadata = new AttemptHead(this.backend.id(), remainingMillis, this.request.organisation(),
 				this.afterId, this.request.host());
-		Map<String, String> headers = this.context.dialect().toBackend(this.request.headers(), head);
+		Map<String, String> headers = this.context.dialect().toBackend(this.request.headers(), attemptMetadata);
 		String url = "http://" + this.backend.entry().address() + this.request.target();
 		this.call = this.context.client()
 			.send(new UpstreamRequest(this.request.method(), url, headers, this.request.body()), this);
@@ -96,24 +101,24 @@
 	}
 
 	/**
-	 * Tells whether it has ended.
-	 * @return true once nothing more comes of it
+	 * Returns whether the attempt has ended.
+	 * @return true once nothing more of the response is accepted
 	 */
-	boolean over() {
-		return this.over;
+	boolean hasEnded() {
+		return this.ended;
 	}
 
 	/**
-	 * Tells whether its connection ended without our doing.
-	 * @return false if we gave it up
+	 * Returns whether the connection was lost rather than closed by this gateway.
+	 * @return false if this gateway aborted the attempt
 	 */
 	boolean lostConnection() {
-		return !this.givenUp;
+		return !this.abortedByGateway;
 	}
 
 	/**
-	 * Tells why the attempt ended without an answer.
-	 * @return one line, empty if there is nothing to tell
+	 * Returns why the attempt ended without a response.
+	 * @return one line; empty if no cause is known
 	 */
 	String cause() {
 		return this.cause;
@@ -124,38 +129,39 @@
 	}
 
 	/**
-	 * Returns what has arrived of the answer.
-	 * @return the answer, {@code null} before a credible one begins
+	 * Returns the part of the response that has arrived.
+	 * @return the buffered response; {@code null} before the head of a credible response
 	 */
-	AnswerBuffer answer() {
-		return this.answer;
+	AnswerBuffer response() {
+		return this.response;
 	}
 
 	/**
-	 * Returns when this server's events came. A pause that began with another server's
-	 * event does not count among them.
-	 * @return the times
+	 * Returns the arrival times of this server's events. They exclude a pause that
+	 * started with an event of another server.
+	 * @return the event times of this attempt
 	 */
 	EventTimes eventTimes() {
 		return this.eventTimes;
 	}
 
 	/**
-	 * Takes or stops taking bytes from the server.
-	 * @param reading whether to take them
+	 * Starts or stops reading from the server.
+	 * @param reading whether to read
 	 */
-	void reading(boolean reading) {
-		if (!this.over && this.call != null) {
+	void setReading(boolean reading) {
+		if (!this.ended && this.call != null) {
 			this.call.reading(reading);
-			restartTimer(reading);
+			restartIdleTimer(reading);
 		}
 	}
 
 	/**
-	 * Ends the attempt without a word to its listener, which ends the server's work.
+	 * Ends the attempt without notifying its listener. Cancelling the call makes the
+	 * server stop its work.
 	 */
 	void abandon() {
-		if (!this.over) {
+		if (!this.ended) {
 			this.cause = "abandoned";
 			close(null);
 			this.backend.withdrawn();
@@ -171,63 +177,64 @@
 
 	@Override
 	public void onHead(int answerStatus, Map<String, String> headers) {
-		if (this.over) {
+		if (this.ended) {
 			return;
 		}
 		this.status = answerStatus;
 		this.context.suspects().heard(this.backend.entry().run());
-		AnswerHead head = this.context.dialect().readAnswer(answerStatus, headers);
-		recordNotice(head);
-		if (head.refused()) {
-			if (head.elsewhere()) {
+		AnswerHead metadata = this.context.dialect().readAnswer(answerStatus, headers);
+		recordNotice(metadata);
+		if (metadata.refused()) {
+			if (metadata.elsewhere()) {
 				this.backend.replaced();
 			}
 			cancelCall();
 			finish(AttemptEnd.REFUSED);
 			return;
 		}
-		if (!head.credible(answerStatus, this.request.id())) {
-			giveUp("not a server's answer to this request");
+		if (!metadata.credible(answerStatus, this.request.id())) {
+			abort("the response is not a valid response to this request");
 			return;
 		}
 		if (this.request.route().repeat() == Repeat.STREAM) {
 			this.streaming = true;
 			this.backend.streamBegan(this.context.clock().nowMillis());
 		}
-		restartTimer(true);
-		this.answer = bufferFor(answerStatus, headers);
-		this.listener.answerBegins(this.answer);
+		restartIdleTimer(true);
+		this.response = bufferFor(answerStatus, headers);
+		this.listener.onResponseStart(this.response);
 	}
 
-	// Another server at the address, or a response to another request, says nothing of
-	// this server now.
-	private void recordNotice(AnswerHead head) {
-		if (!head.elsewhere() && !head.toAnotherThan(this.request.id())) {
+	// Another server at the address, or a response to another request, says nothing about
+	// the current state of this server.
+	private void recordNotice(AnswerHead metadata) {
+		if (!metadata.elsewhere() && !metadata.toAnotherThan(this.request.id())) {
 			this.context.backends()
-				.onResponseHead(this.backend, head.notice(),
-						new BackendNotices.Source(this.request.id(), head.signed(), this.sentMillis));
+				.onResponseHead(this.backend, metadata.notice(),
+						new BackendNotices.Source(this.request.id(), metadata.signed(), this.sentMillis));
 		}
 	}
 
 	private AnswerBuffer bufferFor(int answerStatus, Map<String, String> headers) {
 		boolean stream = this.request.route().repeat() == Repeat.STREAM && answerStatus == AnswerBuffer.OK;
-		return stream ? AnswerBuffer.stream(headers, this.afterId) : AnswerBuffer.plain(answerStatus, headers);
+		return stream ? AnswerBuffer.ofStream(headers, this.afterId)
+				: AnswerBuffer.ofPlainResponse(answerStatus, headers);
 	}
 
 	@Override
 	public void onBytes(byte[] bytes) {
-		if (this.over) {
+		if (this.ended) {
 			return;
 		}
-		restartTimer(true);
+		restartIdleTimer(true);
 		this.context.suspects().heard(this.backend.entry().run());
 		this.receivedBytes += bytes.length;
-		List<StreamEvent> events = this.answer.take(bytes);
+		List<StreamEvent> events = this.response.append(bytes);
 		if (!events.isEmpty()) {
-			this.listener.eventsArrived(events);
+			this.listener.onEvents(events);
 		}
-		if (this.answer.overrun()) {
-			giveUp("another answer within the stream");
+		if (this.response.hasSecondResponse()) {
+			abort("the head of a second response was found within the stream");
 		}
 	}
 
@@ -237,8 +244,8 @@
 	}
 
 	@Override
-	public void onFailure(boolean maybeSent, Throwable thrown) {
-		this.cause = String.valueOf(thrown.getMessage());
+	public void onFailure(boolean maybeSent, Throwable failure) {
+		this.cause = String.valueOf(failure.getMessage());
 		if (!maybeSent) {
 			finish(AttemptEnd.NOT_SENT);
 			return;
@@ -247,60 +254,60 @@
 	}
 
 	/**
-	 * Gives the attempt up.
-	 * @param why for the log
+	 * Aborts the attempt.
+	 * @param reason the reason, for the log
 	 */
-	void giveUp(String why) {
-		if (!this.over) {
-			this.cause = why;
-			this.givenUp = true;
+	void abort(String reason) {
+		if (!this.ended) {
+			this.cause = reason;
+			this.abortedByGateway = true;
 			cancelCall();
 			finish((this.status != 0) ? AttemptEnd.BEGAN_THEN_BROKE : AttemptEnd.LOST_FOR_GOOD);
 		}
 	}
 
-	private void restartTimer(boolean running) {
-		if (this.over || this.silenceMillis <= 0) {
+	private void restartIdleTimer(boolean reading) {
+		if (this.ended || this.idleTimeoutMillis <= 0) {
 			return;
 		}
-		this.timer.cancel(false);
-		if (running) {
-			this.timer = this.context.loop().later(() -> giveUp("silent"), this.silenceMillis);
+		this.timeoutTimer.cancel(false);
+		if (reading) {
+			this.timeoutTimer = this.context.loop().later(() -> abort("silent"), this.idleTimeoutMillis);
 		}
 	}
 
 	private void finish(AttemptEnd end) {
-		if (this.over) {
+		if (this.ended) {
 			return;
 		}
 		close(end);
-		judge(end);
-		this.listener.attemptEnded(end);
+		recordResult(end);
+		this.listener.onAttemptEnd(end);
 	}
 
 	private void close(AttemptEnd end) {
-		this.over = true;
-		this.timer.cancel(false);
+		this.ended = true;
+		this.timeoutTimer.cancel(false);
 		if (this.streaming) {
 			this.backend.streamEnded();
 		}
 		String name = (end != null) ? end.name() : "ABANDONED";
-		this.context.meters().attempt(this.request.service(), name);
+		this.context.meters().countAttempt(this.request.service(), name);
 		EventLog.log(Event.ATTEMPT_ENDED, "request", this.request.id(), "server", this.backend.id(), "end", name,
 				"status", this.status, "cause", this.cause, "receivedBytes", this.receivedBytes, "tookMillis",
 				this.context.clock().nowMillis() - this.sentMillis);
 	}
 
-	private void judge(AttemptEnd end) {
+	private void recordResult(AttemptEnd end) {
 		long nowMillis = this.context.clock().nowMillis();
-		boolean failure = end != AttemptEnd.ANSWERED || this.status >= SERVER_ERROR;
+		boolean failed = end != AttemptEnd.ANSWERED || this.status >= SERVER_ERROR;
 		if (end == AttemptEnd.REFUSED) {
 			this.backend.refused(nowMillis);
 		}
 		else if (end == AttemptEnd.NOT_SENT) {
 			this.backend.unreachable(nowMillis);
 		}
-		else if (failure) {
+		else if (failed) {
 			this.backend.failed(nowMillis);
 		}
 		else {
@@ -309,12 +316,13 @@
 	}
 
 	/**
-	 * How long a server may be silent.
+	 * How long a server may send nothing before the attempt is aborted.
 	 *
-	 * @param firstByteMillis until its answer begins, in milliseconds
-	 * @param pauseMillis between parts of its answer, in milliseconds; 0 for any time
+	 * @param firstByteMillis the longest time until the response starts, in milliseconds
+	 * @param idleMillis the longest pause within the response, in milliseconds; 0 for no
+	 * limit
 	 */
-	record Patience(long firstByteMillis, long pauseMillis) {
+	record Timeouts(long firstByteMillis, long idleMillis) {
 
 	}
 
--- a/gateway/src/main/java/org/snowwind/gateway/request/AttemptHead.java
+++ b/gateway/src/main/java/org/snowwind/gateway/request/AttemptHead.java
@@ -1,13 +1,15 @@
 package org.snowwind.gateway.request;
 
 /**
- * What a server is told about an attempt.
+ * Metadata about an attempt that is sent to the backend server in request headers.
  *
- * @param serverId the run of the server that the attempt is meant for
- * @param remainingMillis the time that is left, in milliseconds
- * @param organisation whose request it is; {@code null} if nobody's
- * @param lastEventId the last event that was delivered; {@code null} to begin
- * @param host the host that the caller asked for
+ * @param serverId the id of the server incarnation that the attempt is addressed to
+ * @param remainingMillis the time until the request's deadline, in milliseconds
+ * @param organisation the organisation that sent the request; {@code null} if it is not
+ * known
+ * @param lastEventId id of the last event that was delivered to the caller; {@code null}
+ * to start at the beginning
+ * @param host the host of the caller's request
  */
 public record AttemptHead(String serverId, long remainingMillis, String organisation, String lastEventId, String host) {
 
--- a/gateway/src/main/java/org/snowwind/gateway/request/AttemptListener.java
+++ b/gateway/src/main/java/org/snowwind/gateway/request/AttemptListener.java
@@ -5,26 +5,27 @@
 import org.snowwind.decide.outcome.AttemptEnd;
 
 /**
- * Is told how an attempt fares, on the loop, and nothing more after its end.
+ * Is notified of the progress of an attempt. All methods are called on the event loop,
+ * and none after the attempt has ended.
  */
 interface AttemptListener {
 
 	/**
-	 * A credible answer begins.
-	 * @param answer the answer, without a body
+	 * Called when the head of a credible response has arrived.
+	 * @param response the response, with an empty body
 	 */
-	void answerBegins(AnswerBuffer answer);
+	void onResponseStart(AnswerBuffer response);
 
 	/**
-	 * Events of a stream are whole that the caller does not have.
+	 * Called when complete events of a stream have arrived that the caller does not have.
 	 * @param events the events, at least one
 	 */
-	void eventsArrived(List<StreamEvent> events);
+	void onEvents(List<StreamEvent> events);
 
 	/**
-	 * The attempt has ended.
-	 * @param end how
+	 * Called when the attempt has ended.
+	 * @param end how the attempt ended
 	 */
-	void attemptEnded(AttemptEnd end);
+	void onAttemptEnd(AttemptEnd end);
 
 }
--- a/gateway/src/main/java/org/snowwind/gateway/request/BackendDialect.java
+++ b/gateway/src/main/java/org/snowwind/gateway/request/BackendDialect.java
@@ -3,36 +3,39 @@
 import java.util.Map;
 
 /**
- * How callers and backend servers of one platform name what they say in headers.
+ * Translates between metadata and the HTTP headers that the callers and backend servers
+ * of one platform use.
  */
 public interface BackendDialect {
 
 	/**
-	 * Reads what a caller says of its request.
-	 * @param headers its headers by lower-case name
-	 * @return what it says
+	 * Reads the metadata of a caller's request.
+	 * @param headers the request headers by lower-case name
+	 * @return the metadata
 	 */
 	CallerHead readCaller(Map<String, String> headers);
 
 	/**
-	 * Makes the headers of an attempt: the caller's, without those that are only for this
-	 * process or that the caller may not set, and those of the attempt.
+	 * Creates the request headers of an attempt. They consist of the caller's headers,
+	 * without those that only this process reads or that the caller may not set, and of
+	 * the headers for the attempt's metadata.
 	 * @param callerHeaders the caller's headers by lower-case name
-	 * @param attempt what the server is told
+	 * @param attempt the metadata for the backend server
 	 * @return the headers
 	 */
 	Map<String, String> toBackend(Map<String, String> callerHeaders, AttemptHead attempt);
 
 	/**
-	 * Reads what a server says of its answer.
+	 * Reads the metadata of a backend server's response.
 	 * @param status the HTTP status
-	 * @param headers its headers by lower-case name
-	 * @return what it says
+	 * @param headers the response headers by lower-case name
+	 * @return the metadata
 	 */
 	AnswerHead readAnswer(int status, Map<String, String> headers);
 
 	/**
-	 * Makes the headers by which a caller tells our own answers apart.
+	 * Creates the headers by which a caller recognises a response that the gateway itself
+	 * generated.
 	 * @param requestId the caller's id of its request, may be {@code null}
 	 * @return the headers
 	 */
--- a/gateway/src/main/java/org/snowwind/gateway/request/CallerHead.java
+++ b/gateway/src/main/java/org/snowwind/gateway/request/CallerHead.java
@@ -3,23 +3,25 @@
 import org.snowwind.gateway.table.Route;
 
 /**
- * What a caller says of its request.
+ * Metadata that a caller sends in the headers of its request.
  *
  * @param requestId the caller's id of this attempt; {@code null} if it sent none
- * @param patienceMillis how long the caller will wait, in milliseconds; -1 if it does not
- * say
- * @param key its organisation's key; {@code null} if it sent none
- * @param lastEventId the last event of a stream that it has; {@code null} if it begins
- * @param promptTokens how many tokens its prompt has, 0 if it does not say
- * @param maxOutputTokens how many tokens it wants at most, 0 if it does not say
+ * @param patienceMillis how long the caller waits for the response, in milliseconds; -1
+ * if it sent no timeout
+ * @param key the API key of the caller's organisation; {@code null} if it sent none
+ * @param lastEventId id of the last event of the stream that the caller has; {@code null}
+ * to start at the beginning
+ * @param promptTokens the number of tokens of the prompt; 0 if it is not known
+ * @param maxOutputTokens the maximum number of tokens to generate; 0 if the caller sent
+ * no maximum
  */
 public record CallerHead(String requestId, long patienceMillis, String key, String lastEventId, int promptTokens,
 		int maxOutputTokens) {
 
 	/**
-	 * Returns how long a request may take.
-	 * @param route its route
-	 * @return the caller's patience or the route's timeout, whichever is shorter, in
+	 * Returns how long the request may take.
+	 * @param route the route of the request
+	 * @return the timeout of the caller or of the route, whichever is shorter, in
 	 * milliseconds
 	 */
 	long allowedMillis(Route route) {
--- a/gateway/src/main/java/org/snowwind/gateway/request/CallerRequest.java
+++ b/gateway/src/main/java/org/snowwind/gateway/request/CallerRequest.java
@@ -7,21 +7,23 @@
 import org.snowwind.gateway.table.ServiceEntry;
 
 /**
- * A caller's request, read and routed.
+ * A caller's request after its body was read and its route was found.
  *
- * @param head what the caller says of it
+ * @param metadata the metadata that the caller sent
  * @param method the HTTP method
- * @param target path and query as sent
- * @param host the host as sent
- * @param headers its headers by lower-case name
- * @param body its body
- * @param route where it goes
- * @param destination the service of the route that it was drawn for
- * @param organisation whose request it is; {@code null} if nobody's
- * @param tableVersion the version of the table by which it was routed
- * @param arrivedMillis when its head arrived, in milliseconds
+ * @param target the path and query as sent
+ * @param host the host header as sent
+ * @param headers the request headers by lower-case name
+ * @param body the request body
+ * @param route the route of the request
+ * @param destination the service that was drawn at random, by weight, from those of the
+ * route
+ * @param organisation the organisation that sent the request; {@code null} if it is not
+ * known
+ * @param tableVersion the version of the route table that was used
+ * @param arrivedMillis when the request head arrived, in milliseconds
  */
-record CallerRequest(CallerHead head, String method, String target, String host, Map<String, String> headers,
+record CallerRequest(CallerHead metadata, String method, String target, String host, Map<String, String> headers,
 		byte[] body, Route route, ServiceEntry destination, String organisation, long tableVersion,
 		long arrivedMillis) {
 
@@ -30,12 +32,12 @@
 	}
 
 	String id() {
-		return this.head.requestId();
+		return this.metadata.requestId();
 	}
 
 	/**
-	 * Computes what this request has in common with others of the same work. Reads the
-	 * whole body, so that it is asked for only where something is wrong.
+	 * Computes the digest that identical requests share. This reads the whole body, so it
+	 * is only called when the request may be a suspect or an attempt broke.
 	 * @return the digest
 	 */
 	String digest() {
--- a/gateway/src/main/java/org/snowwind/gateway/request/CatchUp.java
+++ b/gateway/src/main/java/org/snowwind/gateway/request/CatchUp.java
@@ -4,11 +4,12 @@
 import java.util.List;
 
 /**
- * Leaves out what the caller has where a stream that is continued begins earlier.
+ * Drops events that the caller already has if a continued stream starts before the
+ * caller's position.
  *
  * <p>
- * Only the beginning of an attempt's stream is left out. Once it has passed the caller's
- * position all that the server sends is its answer, also ids that repeat or go backwards.
+ * Events are only dropped at the beginning of an attempt's stream. Once the stream has
+ * passed the caller's position, every event is passed on, even if ids repeat or decrease.
  */
 final class CatchUp {
 
@@ -18,12 +19,15 @@
 
 	private String skippedId;
 
-	/** Data without an id that came first: the next id tells whether it is new. */
-	private final List<StreamEvent> undecided = new ArrayList<>();
+	/**
+	 * Data without an id at the start of the stream. The next id determines whether it is
+	 * new to the caller.
+	 */
+	private final List<StreamEvent> pending = new ArrayList<>();
 
 	/**
-	 * Creates the beginning of an attempt's stream.
-	 * @param afterId the last event that the caller has, {@code null} for none
+	 * Creates the filter for an attempt's stream.
+	 * @param afterId id of the last event that the caller has; {@code null} for none
 	 */
 	CatchUp(String afterId) {
 		this.afterId = afterId;
@@ -31,56 +35,59 @@
 	}
 
 	/**
-	 * Takes the next event of the attempt.
+	 * Filters the next event of the attempt.
 	 * @param event the event
-	 * @return what the caller does not have, of this event and those before it
+	 * @return the events that are to be delivered: this event and pending events before
+	 * it, as far as the caller does not have them
 	 */
-	List<StreamEvent> newOnes(StreamEvent event) {
+	List<StreamEvent> filter(StreamEvent event) {
 		if (this.caughtUp) {
 			return List.of(event);
 		}
-		return (event.id() != null) ? withId(event) : withoutId(event);
+		return (event.id() != null) ? filterWithId(event) : filterWithoutId(event);
 	}
 
-	private List<StreamEvent> withId(StreamEvent event) {
+	private List<StreamEvent> filterWithId(StreamEvent event) {
 		this.caughtUp = isAfter(event.id(), this.afterId);
-		List<StreamEvent> newOnes = new ArrayList<>();
+		List<StreamEvent> newEvents = new ArrayList<>();
 		if (this.caughtUp) {
-			newOnes.addAll(this.undecided);
-			newOnes.add(event);
+			newEvents.addAll(this.pending);
+			newEvents.add(event);
 		}
 		this.skippedId = this.caughtUp ? null : event.id();
-		this.undecided.clear();
-		return newOnes;
+		this.pending.clear();
+		return newEvents;
 	}
 
-	// One without an id goes the way of the one before it.
-	private List<StreamEvent> withoutId(StreamEvent event) {
+	// An event without an id belongs to the last event with an id: it is dropped if that
+	// event precedes the caller's position.
+	private List<StreamEvent> filterWithoutId(StreamEvent event) {
 		if (this.skippedId != null) {
 			return this.skippedId.equals(this.afterId) ? List.of(event) : List.of();
 		}
-		if (event.data()) {
-			this.undecided.add(event);
+		if (event.hasData()) {
+			this.pending.add(event);
 			return List.of();
 		}
 		return List.of(event);
 	}
 
 	/**
-	 * Tells whether the attempt has not passed the caller's position for certain.
-	 * @return true if the stream cannot be whole here
+	 * Returns whether the stream may not have reached the caller's position yet.
+	 * @return true if the stream would be incomplete if it ended now
 	 */
-	boolean behind() {
+	boolean isBehind() {
 		boolean beforePosition = this.skippedId != null && !this.skippedId.equals(this.afterId);
-		return beforePosition || !this.undecided.isEmpty();
+		return beforePosition || !this.pending.isEmpty();
 	}
 
 	/**
-	 * Tells whether ids have an order, by which a server that begins anew is recognised.
+	 * Returns whether an id is a number. Numeric ids are ordered, so that a server that
+	 * restarts the stream from the beginning is recognised.
 	 * @param id an id
-	 * @return true if it is a number
+	 * @return true if the id is a number
 	 */
-	static boolean ordered(String id) {
+	static boolean isNumeric(String id) {
 		try {
 			Long.parseLong(id);
 			return true;
@@ -91,13 +98,14 @@
 	}
 
 	/**
-	 * Tells whether an id comes after another.
+	 * Returns whether an id follows another.
 	 * @param id an id
-	 * @param last the other
-	 * @return true if its number is greater, or, without numbers, if it is another one
+	 * @param last the id to compare it with
+	 * @return true if its number is greater or, unless both ids are numbers, if the ids
+	 * differ
 	 */
 	static boolean isAfter(String id, String last) {
-		if (ordered(id) && ordered(last)) {
+		if (isNumeric(id) && isNumeric(last)) {
 			return Long.parseLong(id) > Long.parseLong(last);
 		}
 		return !id.equals(last);
--- a/gateway/src/main/java/org/snowwind/gateway/request/OwnAnswers.java
+++ b/gateway/src/main/java/org/snowwind/gateway/request/ErrorResponses.java
@@ -10,24 +10,24 @@
 import org.snowwind.model.outcome.Problem;
 
 /**
- * Answers that this process gives by itself.
+ * Sends error responses that the gateway itself generates.
  */
-final class OwnAnswers {
+final class ErrorResponses {
 
 	private static final double MILLIS_PER_SECOND = 1000;
 
-	private OwnAnswers() {
+	private ErrorResponses() {
 	}
 
 	/**
-	 * Answers with a problem. A time to come back is told to the millisecond, since whole
-	 * seconds are longer than callers here can wait.
-	 * @param exchange the request
-	 * @param dialect names headers
+	 * Sends a problem as the response. The {@code Retry-After} header has a resolution of
+	 * one millisecond, since a whole second is longer than callers can wait.
+	 * @param exchange the exchange to respond to
+	 * @param dialect provides the headers of responses that the gateway generates
 	 * @param requestId the caller's id of its request, may be {@code null}
-	 * @param problem what is wrong
+	 * @param problem the problem to report
 	 */
-	static void problem(HttpExchange exchange, BackendDialect dialect, String requestId, Problem problem) {
+	static void send(HttpExchange exchange, BackendDialect dialect, String requestId, Problem problem) {
 		Map<String, String> headers = new LinkedHashMap<>(dialect.ownAnswer(requestId));
 		headers.put("Content-Type", "application/json");
 		headers.put("Cache-Control", "no-store");
--- a/gateway/src/main/java/org/snowwind/gateway/request/EventStream.java
+++ b/gateway/src/main/java/org/snowwind/gateway/request/EventStream.java
@@ -6,13 +6,13 @@
 import java.util.List;
 
 /**
- * Cuts the stream of one attempt into whole events.
+ * Splits the stream of one attempt into complete events.
  *
  * <p>
- * Only whole events go to the caller, so that a stream that breaks off can be continued
- * at the next event without splicing. What is held of an unfinished event is dropped with
- * the attempt: each has a stream of its own, so that no way to the next attempt can
- * forget to clear it.
+ * Only complete events are sent to the caller, so that another server can continue a
+ * broken stream at the next event without splicing. Each attempt has a parser of its own:
+ * the bytes of an incomplete event are discarded with the attempt and need not be cleared
+ * on any path that leads to the next attempt.
  */
 final class EventStream {
 
@@ -30,33 +30,32 @@
 
 	private final ByteArrayOutputStream line = new ByteArrayOutputStream();
 
-	private final CatchUp catchUp;
+	private final CatchUp replayFilter;
 
 	private String eventId;
 
-	private boolean data;
+	private boolean hasData;
 
-	private boolean overrun;
+	private boolean secondResponse;
 
 	/**
-	 * Creates the stream of an attempt that has received nothing.
-	 * @param afterId the event after which the stream is continued, {@code null} if it
-	 * begins
+	 * Creates the parser for an attempt that has received nothing.
+	 * @param afterId id of the event after which the stream continues; {@code null} to
+	 * start at the beginning
 	 */
 	EventStream(String afterId) {
-		this.catchUp = new CatchUp(afterId);
+		this.replayFilter = new CatchUp(afterId);
 	}
 
 	/**
-	 * Takes bytes of the stream.
+	 * Parses the next bytes of the stream.
 	 * @param bytes the bytes
-	 * @return the whole events among them and those held before, without what the caller
-	 * has
+	 * @return the events that are now complete, without those that the caller already has
 	 */
-	List<StreamEvent> take(byte[] bytes) {
-		List<StreamEvent> whole = new ArrayList<>();
+	List<StreamEvent> parse(byte[] bytes) {
+		List<StreamEvent> complete = new ArrayList<>();
 		for (byte next : bytes) {
-			if (this.overrun) {
+			if (this.secondResponse) {
 				break;
 			}
 			this.event.write(next);
@@ -65,10 +64,10 @@
 				continue;
 			}
 			if (endsEvent()) {
-				finishEvent(whole);
+				finishEvent(complete);
 			}
 		}
-		return whole;
+		return complete;
 	}
 
 	private boolean endsEvent() {
@@ -81,41 +80,42 @@
 			String id = text.substring(ID_FIELD.length()).strip();
 			this.eventId = id.isEmpty() ? null : id;
 		}
-		this.data = this.data || text.startsWith(DATA_FIELD);
-		this.overrun = text.startsWith(STATUS_LINE);
+		this.hasData = this.hasData || text.startsWith(DATA_FIELD);
+		this.secondResponse = text.startsWith(STATUS_LINE);
 		return text.isEmpty();
 	}
 
-	private void finishEvent(List<StreamEvent> whole) {
-		StreamEvent finished = new StreamEvent(this.eventId, this.data, this.event.toByteArray());
+	private void finishEvent(List<StreamEvent> complete) {
+		StreamEvent finished = new StreamEvent(this.eventId, this.hasData, this.event.toByteArray());
 		this.event.reset();
 		this.eventId = null;
-		this.data = false;
-		whole.addAll(this.catchUp.newOnes(finished));
+		this.hasData = false;
+		complete.addAll(this.replayFilter.filter(finished));
 	}
 
 	/**
-	 * Tells whether another answer began within the stream. One that ends with its
-	 * connection has no other end by which a second answer of its server could be told;
-	 * that answer is nobody's, and nothing after its head is taken.
-	 * @return true once a line was the first of another answer
+	 * Returns whether the head of a second response was found within the stream. A stream
+	 * that is delimited only by the end of its connection has no other mark by which a
+	 * second response of its server could be detected. The second response belongs to no
+	 * request, so nothing after its status line is parsed.
+	 * @return true once a line was the status line of another response
 	 */
-	boolean overrun() {
-		return this.overrun;
+	boolean hasSecondResponse() {
+		return this.secondResponse;
 	}
 
 	/**
-	 * Tells whether the stream would be broken if it ended here.
-	 * @return true within an event, or if the events that the caller has were not all
-	 * repeated
+	 * Returns whether the stream would be incomplete if it ended now.
+	 * @return true within an event, or if the server may not have repeated all events
+	 * that the caller has
 	 */
-	boolean unfinished() {
-		return heldBytes() > 0 || this.catchUp.behind();
+	boolean isIncomplete() {
+		return heldBytes() > 0 || this.replayFilter.isBehind();
 	}
 
 	/**
-	 * Counts the bytes that are held because their event is not whole yet.
-	 * @return a number of bytes
+	 * Returns how many bytes are held because their event is incomplete.
+	 * @return the number of bytes
 	 */
 	int heldBytes() {
 		return this.event.size();
--- a/gateway/src/main/java/org/snowwind/gateway/request/EventTimes.java
+++ b/gateway/src/main/java/org/snowwind/gateway/request/EventTimes.java
@@ -1,14 +1,14 @@
 package org.snowwind.gateway.request;
 
 /**
- * When the events of one answer came. Confined to the loop.
+ * Measures when the events of one response arrived. Confined to the event loop.
  */
 final class EventTimes {
 
-	/** Stands for the pause before the first event. */
-	static final long FIRST = -1;
+	/** Returned instead of a pause for the first event. */
+	static final long FIRST_EVENT = -1;
 
-	private final long arrivedMillis;
+	private final long startMillis;
 
 	private long firstMillis;
 
@@ -16,44 +16,46 @@
 
 	private long longestPauseMillis;
 
-	private boolean begun;
+	private boolean started;
 
 	/**
-	 * Creates the times of an answer that has not begun.
-	 * @param arrivedMillis when its request came, in milliseconds
+	 * Creates the times of a response that has not started.
+	 * @param startMillis the time from which the first event is measured, in
+	 * milliseconds: when the request arrived or, for one attempt, when it was sent
 	 */
-	EventTimes(long arrivedMillis) {
-		this.arrivedMillis = arrivedMillis;
+	EventTimes(long startMillis) {
+		this.startMillis = startMillis;
 	}
 
 	/**
-	 * Takes note of an event.
-	 * @param nowMillis the time, in milliseconds
-	 * @return the pause before it, in milliseconds; {@link #FIRST} for the first one
+	 * Records the arrival of an event.
+	 * @param nowMillis the current time, in milliseconds
+	 * @return the pause before it, in milliseconds; {@link #FIRST_EVENT} for the first
+	 * event
 	 */
-	long event(long nowMillis) {
-		long pauseMillis = this.begun ? nowMillis - this.lastMillis : FIRST;
+	long recordEvent(long nowMillis) {
+		long pauseMillis = this.started ? nowMillis - this.lastMillis : FIRST_EVENT;
 		this.lastMillis = nowMillis;
-		if (this.begun) {
+		if (this.started) {
 			this.longestPauseMillis = Math.max(this.longestPauseMillis, pauseMillis);
 		}
 		else {
-			this.begun = true;
-			this.firstMillis = nowMillis - this.arrivedMillis;
+			this.started = true;
+			this.firstMillis = nowMillis - this.startMillis;
 		}
 		return pauseMillis;
 	}
 
 	/**
-	 * Returns how long the first event took.
-	 * @return the time since the request came, in milliseconds; 0 before it
+	 * Returns the time from the start of the measurement to the first event.
+	 * @return the time, in milliseconds; 0 before the first event
 	 */
 	long firstMillis() {
 		return this.firstMillis;
 	}
 
 	/**
-	 * Returns the longest pause between events.
+	 * Returns the longest pause between two events.
 	 * @return the pause, in milliseconds
 	 */
 	long longestPauseMillis() {
--- a/gateway/src/main/java/org/snowwind/gateway/request/GatewayHandler.java
+++ b/gateway/src/main/java/org/snowwind/gateway/request/GatewayHandler.java
@@ -21,22 +21,27 @@
 import org.snowwind.model.outcome.ProblemKind;
 
 /**
- * Takes callers' requests: where to, whose is it. Confined to the loop.
+ * Accepts callers' requests: finds their route and organisation, reads their body and
+ * starts a relay for each. Confined to the event loop.
  */
 public final class GatewayHandler implements HttpHandler {
 
 	/**
-	 * When to come back to a process that knows no configuration yet, in milliseconds.
+	 * The retry delay for callers of a process that has no configuration yet, in
+	 * milliseconds.
 	 */
-	private static final long NOT_READY_RETRY_MILLIS = 300;
+	private static final long NOT_READY_RETRY_AFTER_MILLIS = 300;
 
 	/**
-	 * When to come back to a gateway that stops, in milliseconds: at once, since a new
-	 * connection may lead to another one.
+	 * The retry delay for callers of a gateway that stops, in milliseconds. It is short
+	 * because a new connection may lead to another gateway.
 	 */
-	private static final long STOPPING_RETRY_MILLIS = 20;
+	private static final long STOPPING_RETRY_AFTER_MILLIS = 20;
 
-	/** Lines about requests that a stop cuts off; SW-1104 counts them all. */
+	/**
+	 * The maximum number of log lines about requests that a stop cuts off. Event SW-1104
+	 * counts all of them.
+	 */
 	private static final int MAX_CUT_OFF_LINES = 50;
 
 	private final RequestContext context;
@@ -45,19 +50,19 @@
 
 	private final TableFreshness freshness;
 
-	/** In the order in which they came. */
-	private final Set<OpenRequest> open = new LinkedHashSet<>();
+	/** The open requests in the order of their arrival. */
+	private final Set<OpenRequest> openRequests = new LinkedHashSet<>();
 
-	/** The stop that has begun, {@code null} before. */
+	/** The schedule of the stop; {@code null} before the stop begins. */
 	private StopSchedule stop;
 
 	private boolean closed;
 
 	/**
 	 * Creates the handler.
-	 * @param context what requests work with
-	 * @param tables holds the table in force
-	 * @param freshness tells how certain it is that it is the newest
+	 * @param context the components that requests share
+	 * @param tables holds the current route table
+	 * @param freshness tracks whether the current route table may be outdated
 	 */
 	public GatewayHandler(RequestContext context, TableHolder tables, TableFreshness freshness) {
 		this.context = context;
@@ -66,148 +71,152 @@
 	}
 
 	/**
-	 * Closes each connection after its next answer from now on.
-	 * @param schedule the moments of the stop
+	 * Begins the stop: from now on each connection is closed after its next response, and
+	 * requests that may outlast the stop are rejected.
+	 * @param schedule the schedule of the stop
 	 */
 	public void drain(StopSchedule schedule) {
 		this.stop = schedule;
 	}
 
 	/**
-	 * Counts the open requests.
-	 * @return a number of requests
+	 * Returns the number of open requests.
+	 * @return the number of open requests
 	 */
 	public int open() {
-		return this.open.size();
+		return this.openRequests.size();
 	}
 
 	/**
-	 * Takes no more requests if none is open.
-	 * @return how many are open
+	 * Stops accepting requests if none is open.
+	 * @return the number of open requests
 	 */
 	public int closeIfNone() {
-		this.closed = this.closed || this.open.isEmpty();
-		return this.open.size();
+		this.closed = this.closed || this.openRequests.isEmpty();
+		return this.openRequests.size();
 	}
 
 	/**
-	 * Ends the open requests and takes no more. One whose answer has not begun gets a
-	 * true one, since its caller cannot tell a connection that closes from a loss.
-	 * @return how many were open
+	 * Ends the open requests and stops accepting requests. A request whose response has
+	 * not started gets an error response that states whether it may have run, since its
+	 * caller could not tell a closed connection from a lost request.
+	 * @return the number of requests that were open
 	 */
 	public int endAll() {
 		this.closed = true;
 		long nowMillis = this.context.clock().nowMillis();
-		List<OpenRequest> left = List.copyOf(this.open);
+		List<OpenRequest> left = List.copyOf(this.openRequests);
 		left.stream().limit(MAX_CUT_OFF_LINES).forEach((request) -> request.logCutOff(nowMillis));
 		left.forEach(OpenRequest::end);
 		return left.size();
 	}
 
 	/**
-	 * Sets the deadlines of all open requests anew, since the clock went on while timers
-	 * stood still: those whose time is over end at once.
+	 * Resets the deadline timers of all open requests after the clock advanced while
+	 * timers did not run, for example while the VM was suspended. Requests whose deadline
+	 * has passed end at once.
 	 */
 	public void timePassedUnseen() {
-		List.copyOf(this.open)
+		List.copyOf(this.openRequests)
 			.stream()
 			.filter((request) -> request.relay != null)
-			.forEach((request) -> request.relay.timePassedUnseen());
+			.forEach((request) -> request.relay.resetDeadline());
 	}
 
 	@Override
 	public void handle(HttpExchange exchange) {
 		long arrivedMillis = this.context.clock().nowMillis();
 		Map<String, String> headers = exchange.headers();
-		CallerHead head = this.context.dialect().readCaller(headers);
-		OpenRequest counted = new OpenRequest(exchange, head, arrivedMillis);
-		this.open.add(counted);
-		exchange.onGone(counted::ended);
+		CallerHead metadata = this.context.dialect().readCaller(headers);
+		OpenRequest openRequest = new OpenRequest(exchange, metadata, arrivedMillis);
+		this.openRequests.add(openRequest);
+		exchange.onGone(openRequest::markEnded);
 		if (this.stop != null) {
 			exchange.closeAfterAnswer();
 		}
 		RouteTable table = this.tables.current();
-		Routed routed = route(exchange, head, table);
-		if (routed.problem() != null) {
-			refuse(exchange, head, table, routed.problem(), counted);
+		RoutingResult routing = route(exchange, metadata, table);
+		if (routing.problem() != null) {
+			reject(exchange, metadata, table, routing.problem(), openRequest);
 			return;
 		}
-		long deadlineMillis = arrivedMillis + head.allowedMillis(routed.route());
-		if (refusedByStop(exchange, counted, deadlineMillis)) {
+		long deadlineMillis = arrivedMillis + metadata.allowedMillis(routing.route());
+		if (rejectIfStopping(exchange, openRequest, deadlineMillis)) {
 			return;
 		}
 		exchange.readBody(table.limits().maxBodyBytes(), (body) -> {
-			// The body may have taken long, and the stop may have begun, gone on or ended
-			// the request.
-			if (!this.open.contains(counted) || refusedByStop(exchange, counted, deadlineMillis)) {
+			// Reading the body may have taken long. Meanwhile the stop may have begun,
+			// come closer to its end or ended this request.
+			if (!this.openRequests.contains(openRequest) || rejectIfStopping(exchange, openRequest, deadlineMillis)) {
 				return;
 			}
-			CallerRequest request = new CallerRequest(head, exchange.method(), exchange.target(),
-					exchange.header("Host"), headers, body, routed.route(),
-					table.target(routed.route(), this.context.random()), routed.organisation(), table.version(),
+			CallerRequest request = new CallerRequest(metadata, exchange.method(), exchange.target(),
+					exchange.header("Host"), headers, body, routing.route(),
+					table.target(routing.route(), this.context.random()), routing.organisation(), table.version(),
 					arrivedMillis);
 			logRouted(request);
 			if (this.stop != null) {
-				logInStop(Event.TAKEN_IN_STOP, exchange, head, deadlineMillis);
+				logDuringStop(Event.TAKEN_IN_STOP, exchange, metadata, deadlineMillis);
 			}
-			counted.carry(request);
-		}, counted::ended);
+			openRequest.startRelay(request);
+		}, openRequest::markEnded);
 	}
 
-	// A stop has one end, known when it begins: what is not certain to end before it is
-	// better off elsewhere, and is told so before anything is sent.
-	private boolean refusedByStop(HttpExchange exchange, OpenRequest request, long deadlineMillis) {
+	// The end of a stop is known when the stop begins. A request that may not end before
+	// it is rejected before anything is sent, so that its caller can use another gateway.
+	private boolean rejectIfStopping(HttpExchange exchange, OpenRequest request, long deadlineMillis) {
 		if (this.stop == null) {
 			return false;
 		}
 		exchange.closeAfterAnswer();
-		boolean taken = !this.closed && this.stop.takes(this.context.clock().nowMillis(), deadlineMillis);
-		if (!taken) {
-			logInStop(Event.REFUSED_IN_STOP, exchange, request.head, deadlineMillis);
-			request.refuse();
+		boolean accepted = !this.closed && this.stop.takes(this.context.clock().nowMillis(), deadlineMillis);
+		if (!accepted) {
+			logDuringStop(Event.REFUSED_IN_STOP, exchange, request.metadata, deadlineMillis);
+			request.reject();
 		}
-		return !taken;
+		return !accepted;
 	}
 
-	private Routed route(HttpExchange exchange, CallerHead head, RouteTable table) {
+	private RoutingResult route(HttpExchange exchange, CallerHead metadata, RouteTable table) {
 		if (table.version() == 0) {
-			return Routed.refused(Problem.notRun(ProblemKind.NOT_READY, "no configuration is known yet")
-				.retryAfter(NOT_READY_RETRY_MILLIS));
+			return RoutingResult.rejected(Problem.notRun(ProblemKind.NOT_READY, "no configuration is known yet")
+				.retryAfter(NOT_READY_RETRY_AFTER_MILLIS));
 		}
 		Optional<Route> route = table.route(exchange.header("Host"), exchange.path());
 		if (route.isEmpty()) {
-			return refusedByTable(ProblemKind.UNKNOWN_PATH, "no route leads there");
+			return rejectByTable(ProblemKind.UNKNOWN_PATH, "no route matches this host and path");
 		}
-		Optional<KeyHolder> holder = (head.key() != null) ? table.holderOf(head.key()) : Optional.empty();
-		boolean keyNeeded = table.keysNeeded() && !route.get().open();
-		if (keyNeeded && holder.isEmpty()) {
-			return refusedByTable(ProblemKind.UNKNOWN_ORGANISATION, "no organisation has this key");
+		Optional<KeyHolder> holder = (metadata.key() != null) ? table.holderOf(metadata.key()) : Optional.empty();
+		boolean keyRequired = table.keysNeeded() && !route.get().open();
+		if (keyRequired && holder.isEmpty()) {
+			return rejectByTable(ProblemKind.UNKNOWN_ORGANISATION, "no organisation has this key");
 		}
-		return new Routed(route.get(), holder.map(KeyHolder::organisation).orElse(null), null);
+		return new RoutingResult(route.get(), holder.map(KeyHolder::organisation).orElse(null), null);
 	}
 
-	private Routed refusedByTable(ProblemKind kind, String detail) {
+	private RoutingResult rejectByTable(ProblemKind kind, String detail) {
 		if (this.freshness.isRefusalFinal()) {
-			return Routed.refused(Problem.notRun(kind, detail));
+			return RoutingResult.rejected(Problem.notRun(kind, detail));
 		}
-		return Routed.refused(Problem.notRun(ProblemKind.NOT_READY, detail + ", but there may be a newer configuration")
-			.retryAfter(this.freshness.retryMillis()));
+		return RoutingResult
+			.rejected(Problem.notRun(ProblemKind.NOT_READY, detail + ", but there may be a newer configuration")
+				.retryAfter(this.freshness.retryMillis()));
 	}
 
-	private void refuse(HttpExchange exchange, CallerHead head, RouteTable table, Problem problem,
-			OpenRequest counted) {
+	private void reject(HttpExchange exchange, CallerHead metadata, RouteTable table, Problem problem,
+			OpenRequest openRequest) {
 		TableFreshness.State freshness = this.freshness.state();
-		EventLog.log(Event.REQUEST_REFUSED, "request", head.requestId(), "kind", problem.kind().code(), "table",
+		EventLog.log(Event.REQUEST_REFUSED, "request", metadata.requestId(), "kind", problem.kind().code(), "table",
 				table.version(), "unconfirmedMillis", freshness.unconfirmedMillis(), "toldVersion",
 				freshness.toldVersion(), "toldBy", freshness.toldBy(), "behindMillis", freshness.behindMillis());
-		counted.ended();
-		OwnAnswers.problem(exchange, this.context.dialect(), head.requestId(), problem);
+		openRequest.markEnded();
+		ErrorResponses.send(exchange, this.context.dialect(), metadata.requestId(), problem);
 	}
 
-	private void logInStop(Event event, HttpExchange exchange, CallerHead head, long deadlineMillis) {
+	private void logDuringStop(Event event, HttpExchange exchange, CallerHead metadata, long deadlineMillis) {
 		long nowMillis = this.context.clock().nowMillis();
 		ConnectionUse connection = exchange.connection();
-		EventLog.log(event, "request", head.requestId(), "afterMillis", this.stop.elapsedMillis(nowMillis),
+		EventLog.log(event, "request", metadata.requestId(), "afterMillis", this.stop.elapsedMillis(nowMillis),
 				"newConnection", connection.ageMillis() <= this.stop.elapsedMillis(nowMillis), "connectionAgeMillis",
 				connection.ageMillis(), "earlierRequests", connection.earlierRequests(), "asksMillis",
 				deadlineMillis - nowMillis, "leftMillis", this.stop.leftMillis(nowMillis));
@@ -216,77 +225,80 @@
 	private void logRouted(CallerRequest request) {
 		EventLog.log(Event.REQUEST_ROUTED, "request", request.id(), "route", request.route().name(), "service",
 				request.service(), "organisation", request.organisation(), "table", request.tableVersion(),
-				"patienceMillis", request.head().patienceMillis(), "promptTokens", request.head().promptTokens(),
-				"bodyBytes", request.body().length, "targetMillis", request.route().targetMillis(), "pauseTargetMillis",
-				request.route().pauseTargetMillis());
+				"patienceMillis", request.metadata().patienceMillis(), "promptTokens",
+				request.metadata().promptTokens(), "bodyBytes", request.body().length, "targetMillis",
+				request.route().targetMillis(), "pauseTargetMillis", request.route().pauseTargetMillis());
 	}
 
 	/**
-	 * Where a request goes, or why nowhere.
+	 * The route of a request, or the reason for its rejection.
 	 *
-	 * @param route its route, {@code null} if it is refused
-	 * @param organisation whose it is, {@code null} if nobody's
-	 * @param problem why it is refused, {@code null} if it is not
+	 * @param route the route; {@code null} if the request is rejected
+	 * @param organisation the organisation that sent the request; {@code null} if it is
+	 * not known
+	 * @param problem the reason for the rejection; {@code null} if the request is
+	 * accepted
 	 */
-	private record Routed(Route route, String organisation, Problem problem) {
+	private record RoutingResult(Route route, String organisation, Problem problem) {
 
-		private static Routed refused(Problem problem) {
-			return new Routed(null, null, problem);
+		private static RoutingResult rejected(Problem problem) {
+			return new RoutingResult(null, null, problem);
 		}
 
 	}
 
 	/**
-	 * One open request, counted off once.
+	 * One open request. It is removed from the open requests when it ends.
 	 */
 	private final class OpenRequest {
 
 		private final HttpExchange exchange;
 
-		private final CallerHead head;
+		private final CallerHead metadata;
 
 		private final long arrivedMillis;
 
-		/** {@code null} until the whole request is read. */
+		/** The relay of the request; {@code null} until the whole request is read. */
 		private Relay relay;
 
-		private OpenRequest(HttpExchange exchange, CallerHead head, long arrivedMillis) {
+		private OpenRequest(HttpExchange exchange, CallerHead metadata, long arrivedMillis) {
 			this.exchange = exchange;
-			this.head = head;
+			this.metadata = metadata;
 			this.arrivedMillis = arrivedMillis;
 		}
 
-		private void carry(CallerRequest request) {
-			this.relay = new Relay(GatewayHandler.this.context, request, this.exchange, this::ended);
+		private void startRelay(CallerRequest request) {
+			this.relay = new Relay(GatewayHandler.this.context, request, this.exchange, this::markEnded);
 			this.relay.start();
 		}
 
-		// Nothing was sent, so that it may run elsewhere.
-		private void refuse() {
-			ended();
-			OwnAnswers.problem(this.exchange, GatewayHandler.this.context.dialect(), this.head.requestId(),
-					Problem.notRun(ProblemKind.NOT_READY, "this gateway stops").retryAfter(STOPPING_RETRY_MILLIS));
+		// Nothing was sent to a server, so the caller may safely send the request again.
+		private void reject() {
+			markEnded();
+			ErrorResponses.send(this.exchange, GatewayHandler.this.context.dialect(), this.metadata.requestId(),
+					Problem.notRun(ProblemKind.NOT_READY, "this gateway is stopping")
+						.retryAfter(STOPPING_RETRY_AFTER_MILLIS));
 		}
 
 		private void end() {
 			this.exchange.closeAfterAnswer();
 			if (this.relay == null) {
-				refuse();
+				reject();
 			}
 			else {
 				this.relay.endNow();
 			}
 		}
 
-		private void ended() {
-			GatewayHandler.this.open.remove(this);
+		private void markEnded() {
+			GatewayHandler.this.openRequests.remove(this);
 		}
 
 		private void logCutOff(long nowMillis) {
 			StopSchedule schedule = GatewayHandler.this.stop;
-			EventLog.log(Event.CUT_OFF_IN_STOP, "request", this.head.requestId(), "takenAfterMillis",
+			EventLog.log(Event.CUT_OFF_IN_STOP, "request", this.metadata.requestId(), "takenAfterMillis",
 					schedule.elapsedMillis(this.arrivedMillis), "openMillis", nowMillis - this.arrivedMillis, "begun",
-					this.exchange.begun(), "patienceMillis", this.head.patienceMillis());
+					this.exchange.begun(), "patienceMillis", this.metadata.patienceMillis());
 		}
 
 	}
--- a/gateway/src/main/java/org/snowwind/gateway/request/GatewayMeters.java
+++ b/gateway/src/main/java/org/snowwind/gateway/request/GatewayMeters.java
@@ -6,7 +6,8 @@
 import io.micrometer.core.instrument.Timer;
 
 /**
- * Counts requests and attempts, with labels from configuration and enums only.
+ * Records metrics of requests and attempts. Label values come only from the configuration
+ * and from enums, which bounds their number.
  */
 public final class GatewayMeters {
 
@@ -18,30 +19,30 @@
 
 	/**
 	 * Creates the meters.
-	 * @param registry where they are registered
+	 * @param registry the registry to register the meters with
 	 */
 	public GatewayMeters(MeterRegistry registry) {
 		this.registry = registry;
 	}
 
-	void ended(String service, String outcome, long tookMillis) {
+	void recordRequest(String service, String outcome, long tookMillis) {
 		this.registry.counter("snowwind.gateway.requests", "service", service, "outcome", outcome).increment();
 		timer("snowwind.gateway.request.duration", service).record(Duration.ofMillis(tookMillis));
 	}
 
-	void firstByte(String service, long tookMillis) {
+	void recordFirstByte(String service, long tookMillis) {
 		timer("snowwind.gateway.first.byte", service).record(Duration.ofMillis(tookMillis));
 	}
 
-	void pause(String service, long pauseMillis) {
+	void recordPause(String service, long pauseMillis) {
 		timer("snowwind.gateway.event.pause", service).record(Duration.ofMillis(pauseMillis));
 	}
 
-	void attempt(String service, String end) {
+	void countAttempt(String service, String end) {
 		this.registry.counter("snowwind.gateway.attempts", "service", service, "end", end).increment();
 	}
 
-	void step(String service, String step, boolean withinEvent) {
+	void countStep(String service, String step, boolean withinEvent) {
 		this.registry
 			.counter("snowwind.gateway.steps", "service", service, "step", step, "within.event",
 					Boolean.toString(withinEvent))
--- a/gateway/src/main/java/org/snowwind/gateway/request/Relay.java
+++ b/gateway/src/main/java/org/snowwind/gateway/request/Relay.java
@@ -22,30 +22,37 @@
 import org.snowwind.model.outcome.ProblemKind;
 
 /**
- * Carries one request from its first attempt to its one end. Confined to the loop.
+ * Relays one request to backend servers and its response to the caller, over one or more
+ * attempts. Confined to the event loop.
  *
  * <p>
- * What to do after each attempt is decided by {@link NextStepRules}; this class only does
- * it.
+ * {@link NextStepRules} decides the next step after each attempt; this class only carries
+ * it out.
  */
 final class Relay implements AttemptListener, NextStep.Cases {
 
 	private static final int SERVER_ERROR = 500;
 
-	/** Statuses that promise that a request has not run; only proof allows them. */
-	private static final Set<Integer> PROMISES = Set.of(408, 421, 429, 503);
+	/**
+	 * Statuses that promise that a request has not run. Only proof allows them, so a
+	 * server's response with one of them is not passed on.
+	 */
+	private static final Set<Integer> NOT_RUN_STATUSES = Set.of(408, 421, 429, 503);
 
-	/** Answers are given this much before their time ends, in milliseconds. */
+	/** How long before its timeout a request is ended, in milliseconds. */
 	private static final long ANSWER_MARGIN_MILLIS = 25;
 
-	/** How many servers may refuse or be out of reach before a request is given up. */
+	/**
+	 * The maximum number of sends of a request, including those that a server rejected or
+	 * that did not reach a server.
+	 */
 	private static final int MAX_SENDS = 5;
 
-	/** How often a waiting request looks for a server, in milliseconds. */
-	private static final long WAIT_STEP_MILLIS = 10;
+	/** How often a waiting request asks for admission, in milliseconds. */
+	private static final long WAIT_POLL_MILLIS = 10;
 
-	/** Before so much time is left, in milliseconds, nothing new is sent. */
-	private static final long LEAST_USEFUL_MILLIS = 30;
+	/** With less time left than this, in milliseconds, no attempt is sent. */
+	private static final long MIN_REMAINING_MILLIS = 30;
 
 	private final RequestContext context;
 
@@ -53,19 +60,20 @@
 
 	private final HttpExchange exchange;
 
-	private final Runnable whenEnded;
+	private final Runnable onEnded;
 
 	private final Timing timing;
 
 	private final long deadlineMillis;
 
-	private final Set<String> tried = new HashSet<>();
+	private final Set<String> triedServers = new HashSet<>();
 
-	private long wantedSinceMillis;
+	/** When the request arrived or, for a continued stream, when it broke. */
+	private long needsServerSinceMillis;
 
 	private final StreamPosition position;
 
-	/** The type of the stream that the caller sees, {@code null} before it begins. */
+	/** The media type of the stream; {@code null} before the stream starts. */
 	private String mediaType;
 
 	private Future<?> deadlineTimer;
@@ -76,49 +84,53 @@
 
 	private int sends;
 
-	/** How many sends a server may have received; the others reached none. */
-	private int arrivals;
+	/** The number of sends that may have reached a server. */
+	private int possibleArrivals;
 
-	private int runs;
+	/** The number of ended attempts without proof that the request did not run. */
+	private int possibleRuns;
 
-	private final EventTimes times;
+	private final EventTimes eventTimes;
 
 	private final RequestSuspicion suspicion;
 
 	private boolean finished;
 
-	/** After which time a limited server could be sent it, in milliseconds. */
+	/**
+	 * The queueing delay until the request could be sent to a rate-limited server, in
+	 * milliseconds.
+	 */
 	private long queueMillis;
 
-	/** Whether it waits for a server that may be sent it. */
-	private boolean waits;
+	/** Whether the request waits for a server that accepts it. */
+	private boolean waiting;
 
 	/**
 	 * Creates the relay of a request.
-	 * @param context what requests work with
+	 * @param context the components that requests share
 	 * @param request the request
-	 * @param exchange the way to answer
-	 * @param whenEnded called when the request has ended
+	 * @param exchange the exchange to respond to
+	 * @param onEnded called when the request has ended
 	 */
-	Relay(RequestContext context, CallerRequest request, HttpExchange exchange, Runnable whenEnded) {
+	Relay(RequestContext context, CallerRequest request, HttpExchange exchange, Runnable onEnded) {
 		this.context = context;
 		this.request = request;
 		this.exchange = exchange;
-		this.whenEnded = whenEnded;
+		this.onEnded = onEnded;
 		this.timing = Timing.of(request.route());
-		this.wantedSinceMillis = request.arrivedMillis();
-		this.deadlineMillis = request.arrivedMillis() + request.head().allowedMillis(request.route())
+		this.needsServerSinceMillis = request.arrivedMillis();
+		this.deadlineMillis = request.arrivedMillis() + request.metadata().allowedMillis(request.route())
 				- ANSWER_MARGIN_MILLIS;
-		this.times = new EventTimes(request.arrivedMillis());
+		this.eventTimes = new EventTimes(request.arrivedMillis());
 		this.suspicion = new RequestSuspicion(context.suspects(), request);
-		this.position = new StreamPosition(request.head().lastEventId());
+		this.position = new StreamPosition(request.metadata().lastEventId());
 	}
 
 	void start() {
-		this.exchange.onGone(this::callerGone);
+		this.exchange.onGone(this::onCallerGone);
 		this.exchange.onWritableChange(this::adjustReading);
 		this.deadlineTimer = this.context.loop().later(this::endNow, remainingMillis());
-		this.context.budgets().request(this.request.service());
+		this.context.budgets().recordRequest(this.request.service());
 		this.context.backends().limits().arrived(this.request.service());
 		dispatch();
 	}
@@ -127,7 +139,7 @@
 		return this.deadlineMillis - this.context.clock().nowMillis();
 	}
 
-	// ---- the steps
+	// ---- next steps
 
 	@Override
 	public void send() {
@@ -136,49 +148,50 @@
 
 	@Override
 	public void resume() {
-		this.wantedSinceMillis = this.context.clock().nowMillis();
+		this.needsServerSinceMillis = this.context.clock().nowMillis();
 		EventLog.log(Event.STREAM_RESUMED, "request", this.request.id(), "after", this.position.lastId());
 		dispatch();
 	}
 
 	@Override
 	public void revoke() {
-		throw new IllegalStateException("there is nobody to ask about an attempt that was sent straight to a server");
+		throw new IllegalStateException("an attempt cannot be revoked after it was sent directly to a server");
 	}
 
 	private void dispatch() {
 		if (this.finished) {
 			return;
 		}
-		// Whoever sends it, and wherever: each server that runs it costs all callers one.
-		if (this.suspicion.blamed()) {
+		// A blamed request is rejected for every caller and every server: each server
+		// that it crashes is lost to all callers.
+		if (this.suspicion.isBlamed()) {
 			logBlamed();
 			finish(Disclosure.FAILED, ProblemKind.ENDS_SERVERS);
 			return;
 		}
-		if (remainingMillis() < LEAST_USEFUL_MILLIS) {
-			giveUpUnsent(ProblemKind.DEADLINE_NOT_RUN);
+		if (remainingMillis() < MIN_REMAINING_MILLIS) {
+			finishUnsent(ProblemKind.DEADLINE_NOT_RUN);
 			return;
 		}
 		Admission.Verdict verdict = this.context.admission().decide(arrival());
-		waits(verdict instanceof Admission.Verdict.Wait);
+		setWaiting(verdict instanceof Admission.Verdict.Wait);
 		if (verdict instanceof Admission.Verdict.Send send) {
 			sendTo(send.backend());
 		}
 		else if (verdict instanceof Admission.Verdict.Wait) {
-			this.waitTimer = this.context.loop().later(this::dispatch, WAIT_STEP_MILLIS);
+			this.waitTimer = this.context.loop().later(this::dispatch, WAIT_POLL_MILLIS);
 		}
 		else if (verdict instanceof Admission.Verdict.Reject reject) {
-			logRejected(reject);
+			logRejection(reject);
 			this.queueMillis = reject.queueMillis();
-			giveUpUnsent(ProblemKind.OVERLOADED);
+			finishUnsent(ProblemKind.OVERLOADED);
 		}
 	}
 
-	private void waits(boolean next) {
-		if (next != this.waits) {
-			this.waits = next;
-			this.context.backends().limits().waits(this.request.service(), next ? 1 : -1);
+	private void setWaiting(boolean nowWaiting) {
+		if (nowWaiting != this.waiting) {
+			this.waiting = nowWaiting;
+			this.context.backends().limits().waits(this.request.service(), nowWaiting ? 1 : -1);
 		}
 	}
 
@@ -187,39 +200,39 @@
 				"organisation", this.request.organisation(), "sends", this.sends);
 	}
 
-	private void logRejected(Admission.Verdict.Reject reject) {
+	private void logRejection(Admission.Verdict.Reject reject) {
 		EventLog.log(Event.REQUEST_TURNED_AWAY, "request", this.request.id(), "closed", reject.closed(), "startMillis",
 				reject.startMillis(), "queueMillis", reject.queueMillis(), "returnMillis", reject.returnMillis(),
-				"waitedMillis", this.context.clock().nowMillis() - this.wantedSinceMillis, "targetMillis",
+				"waitedMillis", this.context.clock().nowMillis() - this.needsServerSinceMillis, "targetMillis",
 				this.request.route().targetMillis(), "sends", this.sends, "registry",
 				this.context.backends().revision());
 	}
 
 	private Arrival arrival() {
-		return new Arrival(this.request.service(), this.tried, this.timing.mayWait(),
+		return new Arrival(this.request.service(), this.triedServers, this.timing.maxWaitingAtServer(),
 				this.request.destination().engine(), this.request.route().targetMillis(),
-				this.request.route().pauseTargetMillis(), this.wantedSinceMillis, this.waits);
+				this.request.route().pauseTargetMillis(), this.needsServerSinceMillis, this.waiting);
 	}
 
 	private void sendTo(Backend backend) {
-		// While a request waited others may have spent what was left when it was allowed.
+		// While the request waited, other requests may have used up the retry budget.
 		if (!retryAllowed()) {
-			giveUpUnsent(ProblemKind.OVERLOADED);
+			finishUnsent(ProblemKind.OVERLOADED);
 			return;
 		}
-		long remaining = remainingMillis();
-		if (this.arrivals > 0) {
-			this.context.budgets().retried(this.request.service());
+		long remainingMillis = remainingMillis();
+		if (this.possibleArrivals > 0) {
+			this.context.budgets().recordRetry(this.request.service());
 		}
 		this.sends++;
-		this.arrivals++;
-		this.tried.add(backend.id());
+		this.possibleArrivals++;
+		this.triedServers.add(backend.id());
 		EventLog.log(Event.REQUEST_SENT, "request", this.request.id(), "server", backend.id(), "attempt", this.sends,
 				"load", backend.load(), "group", groupOf(backend), "groupLoad", groupLoadOf(backend), "passMillis",
 				passMillisOf(backend), "slots", backend.entry().slots(), "registry", this.context.backends().revision(),
-				"remainingMillis", remaining);
+				"remainingMillis", remainingMillis);
 		this.attempt = new Attempt(this.context, this.request, backend, this.position.lastId(), this);
-		this.attempt.send(remaining, patience(remaining));
+		this.attempt.send(remainingMillis, timeouts(remainingMillis));
 	}
 
 	private static String groupOf(Backend backend) {
@@ -234,19 +247,21 @@
 		return (backend.group() != null) ? Math.round(backend.group().passMillis()) : 0;
 	}
 
-	// A silent server is given up only where another one may still take over.
-	private Attempt.Patience patience(long remaining) {
-		boolean lastAttempt = this.runs + 1 >= this.request.route().maxAttempts();
+	// An attempt at a server that sends nothing is aborted only if another server may
+	// still take over.
+	private Attempt.Timeouts timeouts(long remainingMillis) {
+		boolean lastAttempt = this.possibleRuns + 1 >= this.request.route().maxAttempts();
 		if (!this.request.route().repeatable() || lastAttempt) {
-			return new Attempt.Patience(remaining, 0);
+			return new Attempt.Timeouts(remainingMillis, 0);
 		}
-		long first = Math.min(remaining, this.timing.firstByteMillis(remaining));
-		return new Attempt.Patience(first, this.timing.pauseMillis());
+		long firstByteMillis = Math.min(remainingMillis, this.timing.firstByteTimeoutMillis(remainingMillis));
+		return new Attempt.Timeouts(firstByteMillis, this.timing.idleTimeoutMillis());
 	}
 
-	// Nothing is under way: either nothing was sent, or proof came that it did not run.
-	private void giveUpUnsent(ProblemKind kind) {
-		if (this.runs > 0 || this.exchange.begun()) {
+	// No attempt is in flight. The request is reported as not run only if no attempt was
+	// made without proof that it did not run.
+	private void finishUnsent(ProblemKind kind) {
+		if (this.possibleRuns > 0 || this.exchange.begun()) {
 			finish(Disclosure.UNKNOWN, ProblemKind.BACKEND_FAILED);
 			return;
 		}
@@ -255,37 +270,37 @@
 
 	@Override
 	public void finish(Disclosure disclosure, ProblemKind kind) {
-		AnswerBuffer answer = answer();
+		AnswerBuffer response = response();
 		if (kind == null) {
-			this.suspicion.answered();
+			this.suspicion.recordAnswered();
 		}
-		if (kind != null && !this.exchange.begun() && answer != null && answer.deliverable()) {
-			close(Disclosure.ANSWERED, Integer.toString(answer.status()));
-			answer.deliver(this.exchange);
+		if (kind != null && !this.exchange.begun() && response != null && response.isDeliverable()) {
+			close(Disclosure.ANSWERED, Integer.toString(response.status()));
+			response.deliver(this.exchange);
 			return;
 		}
-		close(disclosure, (kind != null) ? kind.code() : Integer.toString(answer.status()));
+		close(disclosure, (kind != null) ? kind.code() : Integer.toString(response.status()));
 		if (kind == null) {
-			deliver(answer);
+			deliver(response);
 		}
 		else if (this.exchange.begun()) {
 			this.exchange.abort();
 		}
 		else {
-			OwnAnswers.problem(this.exchange, this.context.dialect(), this.request.id(), problemOf(disclosure, kind));
+			ErrorResponses.send(this.exchange, this.context.dialect(), this.request.id(), problemOf(disclosure, kind));
 		}
 	}
 
-	private AnswerBuffer answer() {
-		return (this.attempt != null) ? this.attempt.answer() : null;
+	private AnswerBuffer response() {
+		return (this.attempt != null) ? this.attempt.response() : null;
 	}
 
-	private void deliver(AnswerBuffer answer) {
+	private void deliver(AnswerBuffer response) {
 		if (this.exchange.begun()) {
 			this.exchange.end();
 		}
 		else {
-			answer.deliver(this.exchange);
+			response.deliver(this.exchange);
 		}
 	}
 
@@ -300,7 +315,8 @@
 		ServiceOutage outage = this.context.backends().outage(this.request.service());
 		long returnMillis = outage.millisToReturn(this.context.clock().nowMillis());
 		if (returnMillis > 0) {
-			return problem.retryAfter(this.timing.returnMillis(remainingMillis(), returnMillis, this.context.random()));
+			return problem
+				.retryAfter(this.timing.retryAfterReturnMillis(remainingMillis(), returnMillis, this.context.random()));
 		}
 		return problem.retryAfter(this.timing.retryAfterMillis(remainingMillis(), outage.total(), this.queueMillis,
 				this.context.random()));
@@ -308,7 +324,7 @@
 
 	private void close(Disclosure disclosure, String outcome) {
 		this.finished = true;
-		waits(false);
+		setWaiting(false);
 		this.deadlineTimer.cancel(false);
 		if (this.waitTimer != null) {
 			this.waitTimer.cancel(false);
@@ -317,35 +333,36 @@
 			this.attempt.abandon();
 		}
 		long tookMillis = this.context.clock().nowMillis() - this.request.arrivedMillis();
-		this.context.meters().ended(this.request.service(), outcome, tookMillis);
+		this.context.meters().recordRequest(this.request.service(), outcome, tookMillis);
 		EventLog.log(Event.REQUEST_ENDED, "request", this.request.id(), "outcome", outcome, "ran",
 				disclosure.headerValue(), "sends", this.sends, "events", this.position.events(), "firstMillis",
-				this.times.firstMillis(), "pauseMillis", this.times.longestPauseMillis(), "tookMillis", tookMillis);
-		this.whenEnded.run();
+				this.eventTimes.firstMillis(), "pauseMillis", this.eventTimes.longestPauseMillis(), "tookMillis",
+				tookMillis);
+		this.onEnded.run();
 	}
 
-	// ---- what happens
+	// ---- events
 
 	@Override
-	public void answerBegins(AnswerBuffer answer) {
-		if (this.exchange.begun() && !(answer.stream() && answer.mediaType().equals(this.mediaType))) {
-			this.attempt.giveUp("the stream was not continued");
+	public void onResponseStart(AnswerBuffer response) {
+		if (this.exchange.begun() && !(response.isStream() && response.mediaType().equals(this.mediaType))) {
+			this.attempt.abort("the response does not continue the stream");
 			return;
 		}
-		if (!answer.stream()) {
-			noteBegan();
+		if (!response.isStream()) {
+			recordResponseStart();
 		}
 	}
 
 	@Override
-	public void eventsArrived(List<StreamEvent> events) {
-		noteEvent();
+	public void onEvents(List<StreamEvent> events) {
+		recordEvents();
 		if (!this.exchange.begun()) {
-			this.mediaType = answer().mediaType();
-			this.exchange.begin(answer().status(), answer().headers());
+			this.mediaType = response().mediaType();
+			this.exchange.begin(response().status(), response().headers());
 		}
 		for (StreamEvent event : events) {
-			this.position.delivered(event);
+			this.position.recordDelivered(event);
 		}
 		this.exchange.write(joined(events));
 		adjustReading();
@@ -359,26 +376,26 @@
 		return joined.toByteArray();
 	}
 
-	private void noteBegan() {
+	private void recordResponseStart() {
 		this.context.admission()
 			.began(this.request.service(), this.context.clock().nowMillis() - this.attempt.sentMillis());
 	}
 
-	private void noteEvent() {
+	private void recordEvents() {
 		long nowMillis = this.context.clock().nowMillis();
-		long pauseMillis = this.times.event(nowMillis);
-		if (pauseMillis == EventTimes.FIRST) {
-			this.context.meters().firstByte(this.request.service(), this.times.firstMillis());
-			noteBegan();
+		long pauseMillis = this.eventTimes.recordEvent(nowMillis);
+		if (pauseMillis == EventTimes.FIRST_EVENT) {
+			this.context.meters().recordFirstByte(this.request.service(), this.eventTimes.firstMillis());
+			recordResponseStart();
 		}
 		else {
-			this.context.meters().pause(this.request.service(), pauseMillis);
+			this.context.meters().recordPause(this.request.service(), pauseMillis);
 		}
-		notePauseOfServer(this.attempt.eventTimes().event(nowMillis), nowMillis);
+		recordServerPause(this.attempt.eventTimes().recordEvent(nowMillis), nowMillis);
 	}
 
-	private void notePauseOfServer(long pauseMillis, long nowMillis) {
-		if (pauseMillis != EventTimes.FIRST) {
+	private void recordServerPause(long pauseMillis, long nowMillis) {
+		if (pauseMillis != EventTimes.FIRST_EVENT) {
 			this.attempt.backend()
 				.paused(pauseMillis, this.request.route().pauseTargetMillis(), this.request.destination().engine(),
 						nowMillis);
@@ -386,80 +403,85 @@
 	}
 
 	@Override
-	public void attemptEnded(AttemptEnd end) {
+	public void onAttemptEnd(AttemptEnd end) {
 		if (!this.finished) {
-			decide(trueEnd(end));
+			decide(effectiveEnd(end));
 		}
 	}
 
-	// A stream that ends within an event is broken. A server's failure is no answer as
-	// long as another server may do better, and none that promises what is not proved.
-	private AttemptEnd trueEnd(AttemptEnd end) {
+	// A stream that ends within an event is broken. A server error does not count as the
+	// response while another server may still succeed, and neither does a status that
+	// promises without proof that the request has not run.
+	private AttemptEnd effectiveEnd(AttemptEnd end) {
 		if (end != AttemptEnd.ANSWERED) {
 			return end;
 		}
-		AnswerBuffer answer = answer();
-		if (answer.stream()) {
-			boolean broken = answer.unfinished() || !this.exchange.begun();
+		AnswerBuffer response = response();
+		if (response.isStream()) {
+			boolean broken = response.isIncomplete() || !this.exchange.begun();
 			return broken ? AttemptEnd.BEGAN_THEN_BROKE : AttemptEnd.ANSWERED;
 		}
-		if (PROMISES.contains(answer.status())) {
+		if (NOT_RUN_STATUSES.contains(response.status())) {
 			return AttemptEnd.BEGAN_THEN_BROKE;
 		}
-		answer.complete();
-		boolean tryAgain = answer.status() >= SERVER_ERROR && this.request.route().repeatable();
-		return tryAgain ? AttemptEnd.BEGAN_THEN_BROKE : AttemptEnd.ANSWERED;
+		response.markComplete();
+		boolean retry = response.status() >= SERVER_ERROR && this.request.route().repeatable();
+		return retry ? AttemptEnd.BEGAN_THEN_BROKE : AttemptEnd.ANSWERED;
 	}
 
-	// What reached no server is no load on any, so that another send is no retry.
+	// A send that reached no server puts no load on any, so another send is not a retry.
 	private boolean retryAllowed() {
-		return this.arrivals == 0 || (this.context.budgets().allows(this.request.service()) && !this.suspicion.grave());
+		return this.possibleArrivals == 0 || (this.context.budgets().allowsRetry(this.request.service())
+				&& !this.suspicion.isStronglySuspected());
 	}
 
 	private void decide(AttemptEnd end) {
 		if (!end.provesNotRun()) {
-			this.runs++;
+			this.possibleRuns++;
 		}
 		if (end.broke()) {
-			this.suspicion.broke(this.attempt, this.context.clock().nowMillis() - this.attempt.sentMillis());
+			this.suspicion.recordBrokenAttempt(this.attempt,
+					this.context.clock().nowMillis() - this.attempt.sentMillis());
 		}
 		if (end == AttemptEnd.NOT_SENT) {
-			this.arrivals--;
+			this.possibleArrivals--;
 		}
 		boolean serverLeft = this.sends < MAX_SENDS && this.context.backends().anyTakesNewWork(this.request.service());
 		Situation situation = new Situation(end, this.request.route().repeatable(),
-				this.request.route().resumable() && this.position.known(), this.position.bytes(), this.runs,
-				this.request.route().maxAttempts(), remainingMillis() - LEAST_USEFUL_MILLIS, retryAllowed(), serverLeft,
-				this.runs > (end.provesNotRun() ? 0 : 1), (end == AttemptEnd.REFUSED) ? ProblemKind.OVERLOADED : null);
+				this.request.route().resumable() && this.position.isExact(), this.position.bytes(), this.possibleRuns,
+				this.request.route().maxAttempts(), remainingMillis() - MIN_REMAINING_MILLIS, retryAllowed(),
+				serverLeft, this.possibleRuns > (end.provesNotRun() ? 0 : 1),
+				(end == AttemptEnd.REFUSED) ? ProblemKind.OVERLOADED : null);
 		NextStep step = NextStepRules.decide(situation);
 		if (end != AttemptEnd.ANSWERED) {
-			noteStep(situation, step);
+			recordStep(situation, step);
 		}
 		step.perform(this);
 	}
 
-	private void noteStep(Situation situation, NextStep step) {
+	private void recordStep(Situation situation, NextStep step) {
 		String name = step.getClass().getSimpleName();
-		int heldBytes = (answer() != null) ? answer().heldBytes() : 0;
-		this.context.meters().step(this.request.service(), name, heldBytes > 0);
+		int heldBytes = (response() != null) ? response().heldBytes() : 0;
+		this.context.meters().countStep(this.request.service(), name, heldBytes > 0);
 		EventLog.log(Event.NEXT_STEP_DECIDED, "request", this.request.id(), "end", situation.end(), "step", name,
 				"heldBytes", heldBytes, "deliveredBytes", this.position.bytes(), "begun", this.exchange.begun(), "runs",
-				this.runs, "maxAttempts", situation.maxAttempts(), "sends", this.sends, "resumable",
+				this.possibleRuns, "maxAttempts", situation.maxAttempts(), "sends", this.sends, "resumable",
 				situation.resumable(), "budgetLeft", situation.retryBudgetLeft(), "serverLeft", situation.serverLeft(),
 				"remainingMillis", situation.remainingMillis());
 	}
 
 	/**
-	 * Ends the request, since its time is over or that of its gateway: with what is known
-	 * to be true of it, or by breaking off an answer that has begun.
+	 * Ends the request because its deadline has passed or the gateway stops. The caller
+	 * gets an error response that states whether the request may have run; a response
+	 * that has started is aborted.
 	 */
 	void endNow() {
 		if (this.finished) {
 			return;
 		}
-		// A request that waits for a place has run only if an earlier attempt may have.
-		boolean underWay = this.attempt != null && !this.attempt.over();
-		if (!underWay && this.runs == 0) {
+		// A request that waits for a server can have run only in an earlier attempt.
+		boolean inFlight = this.attempt != null && !this.attempt.hasEnded();
+		if (!inFlight && this.possibleRuns == 0) {
 			finish(Disclosure.NOT_RUN, ProblemKind.DEADLINE_NOT_RUN);
 			return;
 		}
@@ -467,16 +489,16 @@
 	}
 
 	/**
-	 * Sets the deadline anew, since the clock went on while timers stood still.
+	 * Resets the deadline timer after the clock advanced while timers did not run.
 	 */
-	void timePassedUnseen() {
+	void resetDeadline() {
 		if (!this.finished) {
 			this.deadlineTimer.cancel(false);
 			this.deadlineTimer = this.context.loop().later(this::endNow, remainingMillis());
 		}
 	}
 
-	private void callerGone() {
+	private void onCallerGone() {
 		if (!this.finished) {
 			close(Disclosure.UNKNOWN, "caller-gone");
 		}
@@ -484,7 +506,7 @@
 
 	private void adjustReading() {
 		if (!this.finished && this.attempt != null) {
-			this.attempt.reading(this.exchange.writable());
+			this.attempt.setReading(this.exchange.writable());
 		}
 	}
 
--- a/gateway/src/main/java/org/snowwind/gateway/request/RequestContext.java
+++ b/gateway/src/main/java/org/snowwind/gateway/request/RequestContext.java
@@ -10,18 +10,18 @@
 import org.snowwind.model.MonotonicClock;
 
 /**
- * What every request of a gateway works with.
+ * Components that all requests of a gateway share.
  *
- * @param loop the thread that owns them all
- * @param client carries the attempts
- * @param dialect names what is said in headers
- * @param backends the servers
- * @param admission decides which request is sent where, waits or is turned away
- * @param budgets the retries that are allowed
- * @param suspects knows of requests that end servers
- * @param meters counts
- * @param clock tells the time
- * @param random spreads the times to come back
+ * @param loop the event loop that all of them are confined to
+ * @param client sends the attempts to backend servers
+ * @param dialect translates between metadata and headers
+ * @param backends the backend servers
+ * @param admission decides whether a request is sent, waits or is rejected
+ * @param budgets limit the retries of each service
+ * @param suspects tracks requests that are suspected of crashing servers
+ * @param meters record metrics
+ * @param clock the monotonic clock
+ * @param random spreads the times after which callers retry
  */
 public record RequestContext(DataLoop loop, UpstreamClient client, BackendDialect dialect, BackendTable backends,
 		Admission admission, RetryBudgets budgets, Suspects suspects, GatewayMeters meters, MonotonicClock clock,
--- a/gateway/src/main/java/org/snowwind/gateway/request/RequestSuspicion.java
+++ b/gateway/src/main/java/org/snowwind/gateway/request/RequestSuspicion.java
@@ -9,8 +9,9 @@
 import org.snowwind.model.event.EventLog;
 
 /**
- * What one request asks and tells about suspects. Its digest is worked out once at most,
- * and for most requests never. Confined to the loop.
+ * Connects one request with the record of requests that are suspected of crashing
+ * servers. The digest is computed on first use, and most requests never need it. Confined
+ * to the event loop.
  */
 final class RequestSuspicion {
 
@@ -18,12 +19,12 @@
 
 	private final CallerRequest request;
 
-	/** {@code null} until it is asked for. */
+	/** Computed on first use; {@code null} before. */
 	private String digest;
 
 	/**
-	 * Creates the suspicion of a request that was just taken.
-	 * @param suspects knows of requests that end servers
+	 * Creates the suspicion of a request that was just accepted.
+	 * @param suspects tracks requests that are suspected of crashing servers
 	 * @param request the request
 	 */
 	RequestSuspicion(Suspects suspects, CallerRequest request) {
@@ -32,7 +33,7 @@
 	}
 
 	/**
-	 * Returns what this request has in common with others of the same work.
+	 * Returns the digest that identical requests share.
 	 * @return the digest
 	 */
 	String digest() {
@@ -43,40 +44,41 @@
 	}
 
 	/**
-	 * Tells whether the request is to blame for the ends of servers.
-	 * @return whether it must not be sent to a server
+	 * Returns whether the request is blamed for crashing servers.
+	 * @return true if it must not be sent to any server
 	 */
-	boolean blamed() {
+	boolean isBlamed() {
 		return this.suspects.blames(this.request.body().length, this::digest);
 	}
 
 	/**
-	 * Tells whether the request is suspected so strongly that a further send may cost a
-	 * server.
-	 * @return whether it must not be sent again after an attempt that reached a server
+	 * Returns whether the request is suspected so strongly that sending it again may
+	 * crash another server.
+	 * @return true if it must not be sent again after an attempt that reached a server
 	 */
-	boolean grave() {
+	boolean isStronglySuspected() {
 		return this.suspects.grave(this.request.body().length, this::digest);
 	}
 
 	/**
-	 * Takes note that the request was answered in full.
+	 * Records that the request was answered completely.
 	 */
-	void answered() {
+	void recordAnswered() {
 		this.suspects.answered(this.request.body().length, this::digest);
 	}
 
 	/**
-	 * Takes note that an attempt broke at a server that may have run the request.
+	 * Records that an attempt broke at a server that may have run the request.
 	 * @param attempt the attempt
-	 * @param ageMillis how long it was there, in milliseconds
+	 * @param ageMillis the time since the attempt was sent, in milliseconds
 	 */
-	void broke(Attempt attempt, long ageMillis) {
+	void recordBrokenAttempt(Attempt attempt, long ageMillis) {
 		Backend backend = attempt.backend();
 		EventLog.log(Event.ATTEMPT_BROKE, "request", this.request.id(), "digest", digest(), "organisation",
 				this.request.organisation(), "server", backend.id(), "address", backend.entry().address(), "cause",
 				attempt.cause(), "others", backend.inFlight(), "ageMillis", ageMillis);
-		// A server that leaves as planned cuts off what it has; no request is the cause.
+		// A server that shuts down as planned cuts off its requests; none of them is the
+		// cause.
 		if (backend.takesNewWork()) {
 			String organisation = Objects.requireNonNullElse(this.request.organisation(), "");
 			this.suspects.broke(backend.entry(), new Suspect(digest(), organisation, ageMillis),
--- a/gateway/src/main/java/org/snowwind/gateway/request/RetryBudgets.java
+++ b/gateway/src/main/java/org/snowwind/gateway/request/RetryBudgets.java
@@ -8,7 +8,7 @@
 import org.snowwind.model.MonotonicClock;
 
 /**
- * The retry budget of each service. Confined to the loop.
+ * The retry budget of each service. Confined to the event loop.
  */
 public final class RetryBudgets {
 
@@ -24,10 +24,10 @@
 
 	/**
 	 * Creates the budgets.
-	 * @param bound what all processes together may spend
-	 * @param processes how many processes there may be, those out of reach included; 0
-	 * while that is not known
-	 * @param clock tells the time
+	 * @param bound the retries that all processes together may send
+	 * @param processes the number of processes that may exist, including unreachable
+	 * ones; 0 while it is not known
+	 * @param clock the monotonic clock
 	 * @param startedMillis when this process was started, in milliseconds
 	 */
 	public RetryBudgets(RetryBound bound, IntSupplier processes, MonotonicClock clock, long startedMillis) {
@@ -37,34 +37,35 @@
 		this.startedMillis = startedMillis;
 	}
 
-	private WindowedRetryBudget of(String service) {
+	private WindowedRetryBudget budgetOf(String service) {
 		return this.byService.computeIfAbsent(service, (name) -> new WindowedRetryBudget(this.bound.fraction(),
 				this.bound.extra(), this.bound.windowMillis(), this.startedMillis));
 	}
 
-	void request(String service) {
-		of(service).request(this.clock.nowMillis());
+	void recordRequest(String service) {
+		budgetOf(service).request(this.clock.nowMillis());
 	}
 
-	void retried(String service) {
-		of(service).retried(this.clock.nowMillis());
+	void recordRetry(String service) {
+		budgetOf(service).retried(this.clock.nowMillis());
 	}
 
 	/**
-	 * Tells whether a retry is allowed.
-	 * @param service the service's name
-	 * @return false once this process has spent its part
+	 * Returns whether a retry is allowed.
+	 * @param service the name of the service
+	 * @return false if this process has spent its share of the budget
 	 */
-	boolean allows(String service) {
-		return of(service).allows(this.clock.nowMillis(), this.processes.getAsInt());
+	boolean allowsRetry(String service) {
+		return budgetOf(service).allows(this.clock.nowMillis(), this.processes.getAsInt());
 	}
 
 	/**
-	 * What all processes together may spend on one service in a sliding window.
+	 * The retries that all processes together may send for one service within a sliding
+	 * window.
 	 *
-	 * @param fraction retries per request
-	 * @param extra further retries
-	 * @param windowMillis the window, in milliseconds
+	 * @param fraction the allowed retries per request
+	 * @param extra further retries that are allowed in each window
+	 * @param windowMillis the length of the window, in milliseconds
 	 */
 	public record RetryBound(double fraction, int extra, long windowMillis) {
 
--- a/gateway/src/main/java/org/snowwind/gateway/request/StreamEvent.java
+++ b/gateway/src/main/java/org/snowwind/gateway/request/StreamEvent.java
@@ -1,12 +1,14 @@
 package org.snowwind.gateway.request;
 
 /**
- * A whole event of a stream.
+ * A complete event of a stream.
  *
- * @param id its id; {@code null} if it has none
- * @param data whether it carries data, unlike a comment that keeps a connection open
- * @param bytes the event as the server sent it, with the blank line that ends it
+ * @param id the id of the event; {@code null} if it has none
+ * @param hasData whether the event carries data, unlike a comment that keeps a connection
+ * open
+ * @param bytes the bytes of the event as the server sent them, including the terminating
+ * blank line
  */
-record StreamEvent(String id, boolean data, byte[] bytes) {
+record StreamEvent(String id, boolean hasData, byte[] bytes) {
 
 }
--- a/gateway/src/main/java/org/snowwind/gateway/request/StreamPosition.java
+++ b/gateway/src/main/java/org/snowwind/gateway/request/StreamPosition.java
@@ -1,83 +1,83 @@
 package org.snowwind.gateway.request;
 
 /**
- * How far a caller is in its stream. It belongs to the request and holds nothing of an
- * attempt. Confined to the loop.
+ * The caller's position in its stream. It belongs to the request and holds no state of an
+ * attempt. Confined to the event loop.
  */
 final class StreamPosition {
 
 	private String lastId;
 
-	private boolean known = true;
+	private boolean exact = true;
 
 	private int events;
 
 	private long bytes;
 
 	/**
-	 * Creates the position of a caller that was sent nothing yet.
-	 * @param lastId the last event that the caller has, {@code null} for none
+	 * Creates the position of a caller that was sent no event yet.
+	 * @param lastId id of the last event that the caller has; {@code null} for none
 	 */
 	StreamPosition(String lastId) {
 		this.lastId = lastId;
 	}
 
 	/**
-	 * Takes note that an event went to the caller.
+	 * Records that an event was sent to the caller.
 	 * @param event the event
 	 */
-	void delivered(StreamEvent event) {
+	void recordDelivered(StreamEvent event) {
 		this.events++;
 		this.bytes += event.bytes().length;
 		if (event.id() != null) {
-			moveTo(event.id());
+			advanceTo(event.id());
 		}
-		else if (event.data()) {
-			this.known = false;
+		else if (event.hasData()) {
+			this.exact = false;
 		}
 	}
 
-	// An id that went back names less than the caller has: a stream that went on after it
-	// would repeat the rest.
-	private void moveTo(String id) {
+	// A decreasing id is not adopted: the caller has later events, which a stream that
+	// continues after that id would repeat.
+	private void advanceTo(String id) {
 		if (this.lastId == null || CatchUp.isAfter(id, this.lastId)) {
 			this.lastId = id;
-			this.known = CatchUp.ordered(id);
+			this.exact = CatchUp.isNumeric(id);
 		}
 		else if (!id.equals(this.lastId)) {
-			this.known = false;
+			this.exact = false;
 		}
 	}
 
 	/**
-	 * Returns where the stream can be continued.
-	 * @return the furthest id that was delivered, {@code null} if there is none
+	 * Returns the id after which the stream can be continued.
+	 * @return the furthest id that the caller has; {@code null} if there is none
 	 */
 	String lastId() {
 		return this.lastId;
 	}
 
 	/**
-	 * Tells whether the last id names all that the caller has. After data without an id,
-	 * with one that went back or with one that has no order, a stream cannot be
-	 * continued, for the next server could send that data once more.
-	 * @return false if the caller has more than the last id says
+	 * Returns whether the last id covers exactly the data that the caller has. After data
+	 * without an id, with a decreasing id or with a non-numeric id, the stream cannot be
+	 * continued, because the next server could send that data again.
+	 * @return false if the caller may have more data than the last id covers
 	 */
-	boolean known() {
-		return this.known;
+	boolean isExact() {
+		return this.exact;
 	}
 
 	/**
-	 * Counts delivered events.
-	 * @return how many went to the caller
+	 * Returns the number of delivered events.
+	 * @return the events that were sent to the caller
 	 */
 	int events() {
 		return this.events;
 	}
 
 	/**
-	 * Counts delivered bytes.
-	 * @return how many went to the caller
+	 * Returns the number of delivered bytes.
+	 * @return the bytes that were sent to the caller
 	 */
 	long bytes() {
 		return this.bytes;
--- a/gateway/src/main/java/org/snowwind/gateway/request/Timing.java
+++ b/gateway/src/main/java/org/snowwind/gateway/request/Timing.java
@@ -6,99 +6,113 @@
 import org.snowwind.gateway.table.Route;
 
 /**
- * How long a route's requests wait for what.
+ * Timeouts and retry delays of a route's requests.
  *
- * @param stream whether the route's answers are streams
- * @param targetMillis within which an answer begins on time, in milliseconds
+ * @param stream whether the route's responses are streams
+ * @param targetMillis the target time until a response starts, in milliseconds
  */
 record Timing(boolean stream, long targetMillis) {
 
 	/**
-	 * Callers abandon a stream that is silent for two seconds; a server that is silent
-	 * for half of that is given up, so that another can still go on in time.
+	 * Callers abandon a stream that sends nothing for two seconds. An attempt is aborted
+	 * after half of that time, so that another server can still continue the stream in
+	 * time.
 	 */
-	private static final long STREAM_SILENCE_MILLIS = 1000;
+	private static final long STREAM_IDLE_TIMEOUT_MILLIS = 1000;
 
-	/** A repeatable plain request is sent elsewhere after this part of its time. */
-	private static final double PLAIN_SHARE = 0.4;
+	/**
+	 * A repeatable plain request is sent to another server after this share of its
+	 * remaining time, but not before the target time.
+	 */
+	private static final double PLAIN_FIRST_BYTE_SHARE = 0.4;
 
 	/**
-	 * An engine that is full gets nothing more: it waits better where it can go
-	 * elsewhere.
+	 * A full engine is sent no more requests. A request waits in the gateway instead,
+	 * where it can still be sent to another server.
 	 */
-	private static final int WAITING_AT_ENGINE = 0;
+	private static final int MAX_WAITING_AT_ENGINE = 0;
 
-	/** How many requests may wait at a plain server beyond those that run. */
-	private static final int WAITING_AT_PLAIN = 6;
+	/** How many requests may wait at a plain server in addition to those that run. */
+	private static final int MAX_WAITING_AT_PLAIN = 6;
 
-	/** The least time to come back and its spread, in parts of the target. */
-	private static final double RETRY_LEAST = 1.2;
+	/** The minimum retry delay and its random spread, as multiples of the target time. */
+	private static final double MIN_RETRY_TARGET_SHARE = 1.2;
 
-	private static final double RETRY_SPREAD = 1.6;
+	private static final double RETRY_SPREAD_TARGET_SHARE = 1.6;
 
-	/** Callers come back only if it takes less than a third of the time that is left. */
-	private static final double RETRY_MOST = 0.325;
+	/**
+	 * The maximum retry delay as a share of the remaining time. Callers retry only if the
+	 * delay is less than a third of their remaining time.
+	 */
+	private static final double MAX_RETRY_REMAINING_SHARE = 0.325;
 
 	/**
-	 * The least part of that time where no server takes anything: a group that lost a
-	 * rank is gone for seconds, and a caller who finds it closed again has no further
-	 * try. Callers are spread by when they came.
+	 * The minimum retry delay while no server accepts requests, as a share of the maximum
+	 * delay. A group that lost a rank is unavailable for seconds, and a caller that finds
+	 * it closed again has no further retry. The spread can be small because the arrival
+	 * times of the callers already spread their retries.
 	 */
-	private static final double RETRY_CLOSED = 0.95;
+	private static final double MIN_CLOSED_RETRY_SHARE = 0.95;
 
-	/** The spread of callers behind the return of a server, in parts of the target. */
-	private static final double RETURN_SPREAD = 0.5;
+	/**
+	 * The random spread of retries after the return of a server, as a multiple of the
+	 * target time.
+	 */
+	private static final double RETURN_SPREAD_TARGET_SHARE = 0.5;
 
 	static Timing of(Route route) {
 		return new Timing(route.repeat() == Repeat.STREAM, route.targetMillis());
 	}
 
-	int mayWait() {
-		return this.stream ? WAITING_AT_ENGINE : WAITING_AT_PLAIN;
+	int maxWaitingAtServer() {
+		return this.stream ? MAX_WAITING_AT_ENGINE : MAX_WAITING_AT_PLAIN;
 	}
 
-	long firstByteMillis(long remainingMillis) {
+	long firstByteTimeoutMillis(long remainingMillis) {
 		if (this.stream) {
-			return STREAM_SILENCE_MILLIS;
+			return STREAM_IDLE_TIMEOUT_MILLIS;
 		}
-		return Math.max(this.targetMillis, (long) (PLAIN_SHARE * remainingMillis));
+		return Math.max(this.targetMillis, (long) (PLAIN_FIRST_BYTE_SHARE * remainingMillis));
 	}
 
-	long pauseMillis() {
-		return this.stream ? STREAM_SILENCE_MILLIS : 0;
+	long idleTimeoutMillis() {
+		return this.stream ? STREAM_IDLE_TIMEOUT_MILLIS : 0;
 	}
 
 	/**
-	 * Returns when a caller that is turned away should come back.
-	 * @param remainingMillis the time that it has, in milliseconds
-	 * @param allClosed whether no server takes anything now, which lasts for seconds
-	 * @param queueMillis after which time a limited server could be sent the request, in
-	 * milliseconds; 0 if that is not known
-	 * @param random spreads the callers
-	 * @return the time, in milliseconds
+	 * Returns the delay after which a rejected caller should retry.
+	 * @param remainingMillis the time until the request's deadline, in milliseconds
+	 * @param allClosed whether no server accepts requests now, which lasts for seconds
+	 * @param queueMillis the queueing delay until the request could be sent to a
+	 * rate-limited server, in milliseconds; 0 if it is not known
+	 * @param random spreads the retries
+	 * @return the delay, in milliseconds
 	 */
 	long retryAfterMillis(long remainingMillis, boolean allClosed, long queueMillis, RandomGenerator random) {
-		double most = RETRY_MOST * remainingMillis;
+		double maxMillis = MAX_RETRY_REMAINING_SHARE * remainingMillis;
 		if (allClosed) {
-			return Math.max(1, (long) (most * (RETRY_CLOSED + (1 - RETRY_CLOSED) * random.nextDouble())));
+			return Math.max(1,
+					(long) (maxMillis * (MIN_CLOSED_RETRY_SHARE + (1 - MIN_CLOSED_RETRY_SHARE) * random.nextDouble())));
 		}
-		double wanted = this.targetMillis * (RETRY_LEAST + RETRY_SPREAD * random.nextDouble());
-		return Math.max(1, (long) Math.min(Math.max(wanted, queueMillis), most));
+		double delayMillis = this.targetMillis
+				* (MIN_RETRY_TARGET_SHARE + RETRY_SPREAD_TARGET_SHARE * random.nextDouble());
+		return Math.max(1, (long) Math.min(Math.max(delayMillis, queueMillis), maxMillis));
 	}
 
 	/**
-	 * Returns when a caller should come back that is rejected since all servers back off.
-	 * Callers are spread behind the return of the first server. One that would come back
-	 * in vain is told the time all the same, not an earlier one.
-	 * @param remainingMillis the time that it has, in milliseconds
-	 * @param returnMillis in how long the first server returns, in milliseconds
-	 * @param random spreads the callers
-	 * @return the time, in milliseconds
+	 * Returns the delay after which a caller should retry that is rejected because all
+	 * servers back off. Retries are spread over a time after the first server returns. If
+	 * that server does not return before the caller's deadline, the caller still gets the
+	 * true delay and not a shorter one.
+	 * @param remainingMillis the time until the request's deadline, in milliseconds
+	 * @param returnMillis the time until the first server returns, in milliseconds
+	 * @param random spreads the retries
+	 * @return the delay, in milliseconds
 	 */
-	long returnMillis(long remainingMillis, long returnMillis, RandomGenerator random) {
-		long wanted = returnMillis + (long) (this.targetMillis * RETURN_SPREAD * random.nextDouble());
-		return (returnMillis >= remainingMillis) ? wanted
-				: Math.max(1, Math.min(wanted, (long) (RETRY_MOST * remainingMillis)));
+	long retryAfterReturnMillis(long remainingMillis, long returnMillis, RandomGenerator random) {
+		long delayMillis = returnMillis + (long) (this.targetMillis * RETURN_SPREAD_TARGET_SHARE * random.nextDouble());
+		return (returnMillis >= remainingMillis) ? delayMillis
+				: Math.max(1, Math.min(delayMillis, (long) (MAX_RETRY_REMAINING_SHARE * remainingMillis)));
 	}
 
 }
--- a/gateway/src/main/java/org/snowwind/gateway/request/package-info.java
+++ b/gateway/src/main/java/org/snowwind/gateway/request/package-info.java
@@ -1,4 +1,4 @@
 /**
- * The life of a caller's request.
+ * Handles a caller's request from its arrival to the end of its response.
  */
 package org.snowwind.gateway.request;
--- a/gateway/src/test/java/org/snowwind/gateway/request/CatchUpTests.java
+++ b/gateway/src/test/java/org/snowwind/gateway/request/CatchUpTests.java
@@ -13,66 +13,66 @@
 		return new StreamEvent(id, true, new byte[0]);
 	}
 
-	private static boolean isNew(CatchUp catchUp, String id) {
+	private static boolean isNew(CatchUp filter, String id) {
 		StreamEvent event = event(id);
-		return catchUp.newOnes(event).contains(event);
+		return filter.filter(event).contains(event);
 	}
 
 	@Test
-	void aStreamThatBeginsLeavesNothingOut() {
-		CatchUp catchUp = new CatchUp(null);
-		assertThat(isNew(catchUp, "2")).isTrue();
-		assertThat(isNew(catchUp, "1")).isTrue();
-		assertThat(isNew(catchUp, null)).isTrue();
-		assertThat(catchUp.behind()).isFalse();
+	void newStreamIsNotFiltered() {
+		CatchUp filter = new CatchUp(null);
+		assertThat(isNew(filter, "2")).isTrue();
+		assertThat(isNew(filter, "1")).isTrue();
+		assertThat(isNew(filter, null)).isTrue();
+		assertThat(filter.isBehind()).isFalse();
 	}
 
 	@Test
-	void whatTheCallerHasIsLeftOut() {
-		CatchUp catchUp = new CatchUp("2");
-		assertThat(isNew(catchUp, "1")).isFalse();
-		assertThat(isNew(catchUp, null)).as("it follows the first").isFalse();
-		assertThat(catchUp.behind()).isTrue();
-		assertThat(isNew(catchUp, "2")).isFalse();
-		assertThat(isNew(catchUp, null)).as("it follows the caller's last").isTrue();
-		assertThat(catchUp.behind()).isFalse();
-		assertThat(isNew(catchUp, "3")).isTrue();
+	void deliveredEventsAreNotRepeated() {
+		CatchUp filter = new CatchUp("2");
+		assertThat(isNew(filter, "1")).isFalse();
+		assertThat(isNew(filter, null)).as("data after the first event").isFalse();
+		assertThat(filter.isBehind()).isTrue();
+		assertThat(isNew(filter, "2")).isFalse();
+		assertThat(isNew(filter, null)).as("data after the caller's last event").isTrue();
+		assertThat(filter.isBehind()).isFalse();
+		assertThat(isNew(filter, "3")).isTrue();
 	}
 
 	@Test
-	void beyondThePositionNothingIsLeftOut() {
-		CatchUp catchUp = new CatchUp("2");
-		assertThat(isNew(catchUp, "3")).isTrue();
-		assertThat(isNew(catchUp, "1")).isTrue();
-		assertThat(catchUp.behind()).isFalse();
+	void eventsAfterTheCallersPositionAreNotFiltered() {
+		CatchUp filter = new CatchUp("2");
+		assertThat(isNew(filter, "3")).isTrue();
+		assertThat(isNew(filter, "1")).isTrue();
+		assertThat(filter.isBehind()).isFalse();
 	}
 
 	@Test
-	void aServerThatGoesOnAtOnceIsNotBehind() {
-		CatchUp catchUp = new CatchUp("2");
-		assertThat(catchUp.behind()).isFalse();
-		assertThat(catchUp.newOnes(new StreamEvent(null, false, new byte[0]))).as("a comment").hasSize(1);
+	void streamThatContinuesAtTheCallersPositionIsNotBehind() {
+		CatchUp filter = new CatchUp("2");
+		assertThat(filter.isBehind()).isFalse();
+		assertThat(filter.filter(new StreamEvent(null, false, new byte[0]))).as("a comment").hasSize(1);
 	}
 
 	@Test
-	void dataWithoutAnIdAtTheBeginningWaitsForTheNextId() {
-		CatchUp goesOn = new CatchUp("2");
-		assertThat(goesOn.newOnes(event(null))).isEmpty();
-		assertThat(goesOn.behind()).as("it cannot be told yet").isTrue();
-		assertThat(goesOn.newOnes(event("3"))).hasSize(2);
-		assertThat(goesOn.behind()).isFalse();
-		CatchUp beginsAnew = new CatchUp("2");
-		assertThat(beginsAnew.newOnes(event(null))).isEmpty();
-		assertThat(beginsAnew.newOnes(event("1"))).isEmpty();
-		assertThat(beginsAnew.newOnes(event("2"))).isEmpty();
-		assertThat(beginsAnew.newOnes(event("3"))).hasSize(1);
+	void leadingDataWithoutIdIsHeldUntilTheNextId() {
+		CatchUp continued = new CatchUp("2");
+		assertThat(continued.filter(event(null))).isEmpty();
+		assertThat(continued.isBehind()).as("undecided until the next id").isTrue();
+		assertThat(continued.filter(event("3"))).hasSize(2);
+		assertThat(continued.isBehind()).isFalse();
+		CatchUp restarted = new CatchUp("2");
+		assertThat(restarted.filter(event(null))).isEmpty();
+		assertThat(restarted.filter(event("1"))).isEmpty();
+		assertThat(restarted.filter(event("2"))).isEmpty();
+		assertThat(restarted.filter(event("3"))).hasSize(1);
 	}
 
 	@Test
-	void anIdThatIsNoNumberIsLeftOutIfItIsTheLast() {
-		CatchUp catchUp = new CatchUp("b");
-		assertThat(isNew(catchUp, "b")).isFalse();
-		assertThat(isNew(catchUp, "c")).isTrue();
+	void lastEventWithNonNumericIdIsNotRepeated() {
+		CatchUp filter = new CatchUp("b");
+		assertThat(isNew(filter, "b")).isFalse();
+		assertThat(isNew(filter, "c")).isTrue();
 	}
 
 }
--- a/gateway/src/test/java/org/snowwind/gateway/request/GatewayFixture.java
+++ b/gateway/src/test/java/org/snowwind/gateway/request/GatewayFixture.java
@@ -46,26 +46,26 @@
 import org.snowwind.store.Freshness;
 
 /**
- * A gateway's data path over real sockets, with scripted servers and a caller that reads
- * bytes.
+ * The data path of a gateway over real sockets, with scripted servers and a caller that
+ * reads raw bytes.
  */
 final class GatewayFixture implements AutoCloseable {
 
 	static final long TIMEOUT_MILLIS = 1500;
 
-	/** For how long the route table may be unconfirmed. */
-	static final long BOUND_MILLIS = 60_000;
+	/** How long the route table may be unconfirmed before it counts as outdated. */
+	static final long MAX_UNCONFIRMED_MILLIS = 60_000;
 
-	private static final long LONG_GRACE_MILLIS = 60_000;
+	private static final long LONG_GRACE_PERIOD_MILLIS = 60_000;
 
 	private final DataLoop loop = new DataLoop("test");
 
 	private final UpstreamClient client = new UpstreamClient(this.loop, 300, UpstreamClient.Connections.FRESH,
 			UpstreamClient.Answers.FRAMED_OR_CLOSED);
 
-	private final AtomicLong aheadMillis = new AtomicLong();
+	private final AtomicLong clockOffsetMillis = new AtomicLong();
 
-	private final MonotonicClock clock = () -> MonotonicClock.system().nowMillis() + this.aheadMillis.get();
+	private final MonotonicClock clock = () -> MonotonicClock.system().nowMillis() + this.clockOffsetMillis.get();
 
 	private final BackendTable backends = new BackendTable(this.clock, new Random(1), "dc", () -> 1);
 
@@ -73,16 +73,16 @@
 
 	private final Freshness confirmations = new Freshness(this.clock);
 
-	private final TableFreshness freshness = new TableFreshness(this.tables, this.confirmations, BOUND_MILLIS,
+	private final TableFreshness freshness = new TableFreshness(this.tables, this.confirmations, MAX_UNCONFIRMED_MILLIS,
 			this.clock);
 
 	private final List<ScriptedServer> servers = new ArrayList<>();
 
 	private final Map<String, BackendEntry> entries = new HashMap<>();
 
-	private final SeenSuspects seen = new SeenSuspects();
+	private final RecordedSightings sightings = new RecordedSightings();
 
-	private volatile SuspectView known = SuspectView.EMPTY;
+	private volatile SuspectView suspectView = SuspectView.EMPTY;
 
 	private final GatewayHandler handler;
 
@@ -103,34 +103,34 @@
 	}
 
 	private Suspects suspects() {
-		return new Suspects(() -> this.known, this.seen, new ConnectProbe(this.loop), this.loop, this.clock);
+		return new Suspects(() -> this.suspectView, this.sightings, new ConnectProbe(this.loop), this.loop, this.clock);
 	}
 
-	/** Lets gateways know of ends of servers. */
-	void knows(SuspectView view) {
-		this.known = view;
+	/** Sets which requests gateways suspect of crashing servers. */
+	void setSuspectView(SuspectView view) {
+		this.suspectView = view;
 	}
 
-	/** Lists what this gateway saw of requests under which servers ended. */
-	List<String> seen() {
-		return this.seen.lines;
+	/** Returns what this gateway reported about suspected requests. */
+	List<String> sightings() {
+		return this.sightings.lines;
 	}
 
 	/**
-	 * Puts routes in force: {@code /once/}, {@code /many/}, {@code /stream/},
-	 * {@code /frail/}, {@code /single/} and {@code /patient/}, which waits for long.
+	 * Installs the routes {@code /once/}, {@code /many/}, {@code /stream/},
+	 * {@code /frail/}, {@code /single/} and {@code /patient/}, which has a long timeout.
 	 */
-	GatewayFixture routed() {
-		return routed(Map.of());
+	GatewayFixture withRoutes() {
+		return withRoutes(Map.of());
 	}
 
-	/** Lets the service's servers be ranks of one group. */
-	GatewayFixture routedToRanks() {
+	/** Installs the same routes to a service whose servers are ranks of one group. */
+	GatewayFixture withRoutesToRanks() {
 		EngineProfile engine = new EngineProfile(8, 300_000, 6, 5, 0.5, 0.01, 70_000, 6, 64, 11, 4, 1700, 92_000, 0.85);
-		return routed(Map.of("service", new ServiceEntry("service", engine)));
+		return withRoutes(Map.of("service", new ServiceEntry("service", engine)));
 	}
 
-	private GatewayFixture routed(Map<String, ServiceEntry> services) {
+	private GatewayFixture withRoutes(Map<String, ServiceEntry> services) {
 		List<Route> routes = List.of(route("once", Repeat.AT_MOST_ONCE, 1, false),
 				route("many", Repeat.IDEMPOTENT, 2, false), route("stream", Repeat.STREAM, 2, true),
 				route("frail", Repeat.STREAM, 1, false), route("single", Repeat.STREAM, 10_000, 400, 1, true),
@@ -150,16 +150,19 @@
 				false, resumable, List.of(new Route.Share("service", 1)));
 	}
 
-	/** Adds a server; earlier ones are tried first, since later ones look fuller. */
-	ScriptedServer server(ScriptedServer.Script script) {
+	/**
+	 * Adds a server. Servers are tried in the order in which they are added, because each
+	 * has a higher peer load than the one before.
+	 */
+	ScriptedServer addServer(ScriptedServer.Script script) {
 		ScriptedServer added = new ScriptedServer(script);
 		this.servers.add(added);
 		register(added.port());
 		return added;
 	}
 
-	/** Adds a server that listens no more. */
-	void deadServer() throws IOException {
+	/** Adds a server that does not listen on its port. */
+	void addUnreachableServer() throws IOException {
 		try (ServerSocket closed = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
 			register(closed.getLocalPort());
 		}
@@ -168,17 +171,17 @@
 	private void register(int port) {
 		String id = "server-" + this.entries.size();
 		this.entries.put(id, new BackendEntry(id, BackendRun.UNKNOWN, "service", "127.0.0.1", port, "dc", 8, false));
-		Map<String, Integer> elsewhere = new HashMap<>();
+		Map<String, Integer> peerLoad = new HashMap<>();
 		for (int i = 0; i < this.entries.size(); i++) {
-			elsewhere.put("server-" + i, i);
+			peerLoad.put("server-" + i, i);
 		}
 		onLoop(() -> {
 			this.backends.use(new Registry(this.entries.size(), this.entries));
-			this.backends.peersInFlight(elsewhere, 1);
+			this.backends.peersInFlight(peerLoad, 1);
 		});
 	}
 
-	/** Puts all servers into one group, which has refused several requests in a row. */
+	/** Puts all servers into one group that has rejected several requests in a row. */
 	void closeGroup() {
 		onLoop(() -> this.entries.keySet().forEach((id) -> {
 			this.backends.grouped(BackendRun.of(id), "group");
@@ -190,34 +193,34 @@
 	}
 
 	/** Puts a server into a group. */
-	void grouped(String id, String group) {
+	void addToGroup(String id, String group) {
 		onLoop(() -> this.backends.grouped(BackendRun.of(id), group));
 	}
 
-	/** Returns how long a pass of a server's group takes, as far as its pauses tell. */
+	/** Returns the duration of a pass of a server's group, as estimated from pauses. */
 	double passMillis(String id) {
 		CompletableFuture<Double> millis = new CompletableFuture<>();
 		this.loop.run(() -> millis.complete(this.backends.find(id).orElseThrow().group().passMillis()));
 		return millis.join();
 	}
 
-	/** Lets peers have a number of requests at each server. */
-	void loadElsewhere(int requests) {
-		Map<String, Integer> elsewhere = new HashMap<>();
-		this.entries.keySet().forEach((id) -> elsewhere.put(id, requests));
-		onLoop(() -> this.backends.peersInFlight(elsewhere, 1));
+	/** Sets how many requests the peers have in flight at each server. */
+	void setPeerLoad(int requests) {
+		Map<String, Integer> peerLoad = new HashMap<>();
+		this.entries.keySet().forEach((id) -> peerLoad.put(id, requests));
+		onLoop(() -> this.backends.peersInFlight(peerLoad, 1));
 	}
 
-	/** Begins a stop with a long grace. */
+	/** Begins a stop with a long grace period. */
 	void drain() {
-		drain(GracefulStop.plan(this.clock.nowMillis(), LONG_GRACE_MILLIS));
+		drain(GracefulStop.plan(this.clock.nowMillis(), LONG_GRACE_PERIOD_MILLIS));
 	}
 
 	void drain(StopSchedule schedule) {
 		onLoop(() -> this.handler.drain(schedule));
 	}
 
-	/** Begins a stop and carries it out on a thread of its own. */
+	/** Begins a stop and runs it on a thread of its own. */
 	Thread stop(StopSchedule schedule) {
 		drain(schedule);
 		Thread stop = new Thread(
@@ -226,23 +229,23 @@
 		return stop;
 	}
 
-	/** Lets a peer have a newer route table. */
-	void told(long version) {
+	/** Reports the version of a peer's route table. */
+	void announceTableVersion(long version) {
 		this.freshness.told(version, "127.0.0.1:1");
 	}
 
-	/** Lets time pass on the gateway's clock, and only there. */
-	void passMillis(long millis) {
-		this.aheadMillis.addAndGet(millis);
+	/** Advances only the gateway's clock. */
+	void advanceClock(long millis) {
+		this.clockOffsetMillis.addAndGet(millis);
 	}
 
-	/** Lets time pass that timers did not see, as while a VM is suspended. */
+	/** Advances the clock without running timers, as if the VM was suspended. */
 	void suspend(long millis) {
-		passMillis(millis);
+		advanceClock(millis);
 		onLoop(this.handler::timePassedUnseen);
 	}
 
-	/** Returns the time by the gateway's clock. */
+	/** Returns the time of the gateway's clock. */
 	long nowMillis() {
 		return this.clock.nowMillis();
 	}
@@ -252,7 +255,7 @@
 		onLoop(this.handler::endAll);
 	}
 
-	int open() {
+	int openRequests() {
 		return this.loop.ask(this.handler::open, -1);
 	}
 
@@ -261,7 +264,8 @@
 	}
 
 	/**
-	 * Sends a request with a good key and reads until the connection or the answer ends.
+	 * Sends a request with a valid key, unless a header sets another, and reads until the
+	 * connection ends.
 	 */
 	String call(String path, String... headers) throws IOException {
 		try (Socket socket = send(path, headers)) {
@@ -274,17 +278,17 @@
 		socket.setSoTimeout(10_000);
 		StringBuilder text = new StringBuilder("POST " + path + " HTTP/1.1\r\nHost: gateway.test\r\nt-id: r1\r\n");
 		text.append("Connection: close\r\nContent-Length: 4\r\n");
-		boolean keyed = false;
+		boolean hasKey = false;
 		for (String header : headers) {
 			text.append(header).append("\r\n");
-			keyed = keyed || header.startsWith("t-key");
+			hasKey = hasKey || header.startsWith("t-key");
 		}
-		text.append(keyed ? "" : "t-key: secret\r\n").append("\r\nbody");
+		text.append(hasKey ? "" : "t-key: secret\r\n").append("\r\nbody");
 		socket.getOutputStream().write(text.toString().getBytes(StandardCharsets.UTF_8));
 		return socket;
 	}
 
-	/** Joins the chunks of an answer, as far as they came whole. */
+	/** Joins the complete chunks of a response. */
 	static String bodyOf(String answer) {
 		StringBuilder body = new StringBuilder();
 		int at = answer.indexOf("\r\n\r\n") + 4;
@@ -299,8 +303,8 @@
 		return body.toString();
 	}
 
-	/** Opens a connection and sends what is given on it. */
-	Socket raw(String text) throws IOException {
+	/** Opens a connection and sends the given text on it. */
+	Socket sendRaw(String text) throws IOException {
 		Socket socket = new Socket(this.address.getAddress(), this.address.getPort());
 		socket.setSoTimeout(10_000);
 		socket.getOutputStream().write(text.getBytes(StandardCharsets.UTF_8));
@@ -322,7 +326,7 @@
 		this.servers.forEach(ScriptedServer::close);
 	}
 
-	private static final class SeenSuspects implements Suspects.Sightings {
+	private static final class RecordedSightings implements Suspects.Sightings {
 
 		private final List<String> lines = new CopyOnWriteArrayList<>();
 
@@ -347,7 +351,7 @@
 
 		@Override
 		public int count() {
-			return open();
+			return openRequests();
 		}
 
 		@Override
--- a/gateway/src/test/java/org/snowwind/gateway/request/GatewayHandlerTests.java
+++ b/gateway/src/test/java/org/snowwind/gateway/request/GatewayHandlerTests.java
@@ -12,21 +12,22 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Tests what is taken in while a gateway stops.
+ * Tests which requests {@link GatewayHandler} accepts while the gateway stops.
  *
  * <p>
- * Callers saw streams break off in the middle. Their gateway had been told to stop and
- * said so; but so had most gateways of its data centre, and the balancer then uses all of
- * them. It took requests that could last 8 s until 4 s after the signal, and cut off what
- * was left 7.3 s after it. The cause: a request was taken without asking whether it would
- * end before a bound that was already known. Evidence: of 616 requests taken later than
- * 2.6 s after the signal, 615 came while fewer than half of the data centre's gateways
- * said that they were ready; the three that were cut were taken after 3.8 to 4.0 s, asked
- * for 8 s and had run for 3.3 to 3.5 s at the bound.
+ * These tests guard against streams that are cut off by a stop. A gateway that stops
+ * reports that it is not ready, but the balancer uses all gateways of a data centre while
+ * fewer than half of them are ready, so a stopping gateway still receives requests. A
+ * gateway that did not compare their deadlines with the known end of its stop accepted
+ * requests with a timeout of 8 s until 4 s after the signal and cut them off 7.3 s after
+ * it.
  */
 class GatewayHandlerTests {
 
-	/** Long enough that the request is sent before the bound; nothing waits for it. */
+	/**
+	 * The time until the stop ends: long enough to send a request, and no test has to
+	 * wait for all of it.
+	 */
 	private static final long STOP_LEFT_MILLIS = 700;
 
 	private static final long HOUR_MILLIS = 3_600_000;
@@ -49,28 +50,28 @@
 		this.gateway.close();
 	}
 
-	private StopSchedule noticed() {
+	private StopSchedule stopInForce() {
 		long nowMillis = this.gateway.nowMillis();
 		return StopSchedule.of(nowMillis, 0, STOP_LEFT_MILLIS, ANSWER_MARGIN_MILLIS);
 	}
 
-	private ScriptedServer serverWithAnEndlessStream() {
-		return this.gateway.routed().server((request, answer) -> {
-			answer.raw("HTTP/1.1 200 X\r\nt-signed: yes\r\nt-id: r1\r\nTransfer-Encoding: chunked\r\n\r\n");
-			answer.chunk(FIRST_EVENT);
-			answer.until(this.never);
+	private ScriptedServer addServerWithEndlessStream() {
+		return this.gateway.withRoutes().addServer((request, answer) -> {
+			answer.write("HTTP/1.1 200 X\r\nt-signed: yes\r\nt-id: r1\r\nTransfer-Encoding: chunked\r\n\r\n");
+			answer.writeChunk(FIRST_EVENT);
+			answer.await(this.never);
 		});
 	}
 
 	@Test
-	void whatMayOutlastTheStopIsRefusedAtOnceAndNotCutOffAtItsEnd() throws IOException, InterruptedException {
-		ScriptedServer server = serverWithAnEndlessStream();
+	void requestThatMayOutlastTheStopIsRejectedAtOnceAndNotCutOff() throws IOException, InterruptedException {
+		ScriptedServer server = addServerWithEndlessStream();
 		Thread stop;
-		// Its connection stands when the gateway stops listening.
+		// The connection is open before the gateway stops listening.
 		try (Socket socket = this.gateway
-			.raw(HEAD.replace("many", "patient") + "t-patience: 8000\r\nContent-Length: 4\r\n\r\nbo")) {
-			awaitOpen();
-			stop = this.gateway.stop(noticed());
+			.sendRaw(HEAD.replace("many", "patient") + "t-patience: 8000\r\nContent-Length: 4\r\n\r\nbo")) {
+			awaitOpenRequest();
+			stop = this.gateway.stop(stopInForce());
 			socket.getOutputStream().write("dy".getBytes(StandardCharsets.UTF_8));
 			String answer = readAll(socket);
 			assertThat(answer).startsWith("HTTP/1.1 503").contains("not-run").containsIgnoringCase("retry-after: ");
@@ -80,51 +81,54 @@
 	}
 
 	@Test
-	void whatCertainlyEndsBeforeTheStopDoesIsServed() throws IOException {
-		this.gateway.routed().server((request, answer) -> answer.whole(200, SIGNED, "hello"));
-		this.gateway.drain(noticed());
+	void requestWithADeadlineBeforeTheEndOfTheStopIsServed() throws IOException {
+		this.gateway.withRoutes().addServer((request, answer) -> answer.respond(200, SIGNED, "hello"));
+		this.gateway.drain(stopInForce());
 		assertThat(this.gateway.call("/many/a", "t-patience: 400")).startsWith("HTTP/1.1 200")
 			.containsIgnoringCase("connection: close")
 			.endsWith("hello");
 	}
 
 	@Test
-	void theRoutesTimeoutBoundsACallerThatDoesNotSayHowLongItWaits() throws IOException {
-		ScriptedServer server = this.gateway.routed().server((request, answer) -> answer.whole(200, SIGNED, "hello"));
-		this.gateway.drain(noticed());
+	void routeTimeoutAppliesWhenTheCallerSendsNoTimeout() throws IOException {
+		ScriptedServer server = this.gateway.withRoutes()
+			.addServer((request, answer) -> answer.respond(200, SIGNED, "hello"));
+		this.gateway.drain(stopInForce());
 		assertThat(this.gateway.call("/many/a")).startsWith("HTTP/1.1 503");
 		assertThat(server.received()).isEmpty();
 	}
 
 	@Test
-	void everythingIsServedUntilTheBalancerMustHaveNoticed() throws IOException {
-		this.gateway.routed().server((request, answer) -> answer.whole(200, SIGNED, FIRST_EVENT));
+	void everyRequestIsServedUntilTheBalancerMustHaveNoticedTheStop() throws IOException {
+		this.gateway.withRoutes().addServer((request, answer) -> answer.respond(200, SIGNED, FIRST_EVENT));
 		long nowMillis = this.gateway.nowMillis();
 		this.gateway.drain(StopSchedule.of(nowMillis, HOUR_MILLIS, HOUR_MILLIS, ANSWER_MARGIN_MILLIS));
 		assertThat(this.gateway.call("/patient/a", "t-patience: " + 2 * HOUR_MILLIS)).startsWith("HTTP/1.1 200");
 	}
 
 	@Test
-	void aSlowBodyIsAskedAboutAgainBeforeAnythingIsSent() throws IOException {
-		ScriptedServer server = this.gateway.routed().server((request, answer) -> answer.whole(200, SIGNED, "hello"));
-		try (Socket socket = this.gateway.raw(HEAD + "Content-Length: 4\r\n\r\nbo")) {
-			awaitOpen();
-			this.gateway.drain(noticed());
+	void stopIsCheckedAgainAfterASlowBodyIsRead() throws IOException {
+		ScriptedServer server = this.gateway.withRoutes()
+			.addServer((request, answer) -> answer.respond(200, SIGNED, "hello"));
+		try (Socket socket = this.gateway.sendRaw(HEAD + "Content-Length: 4\r\n\r\nbo")) {
+			awaitOpenRequest();
+			this.gateway.drain(stopInForce());
 			socket.getOutputStream().write("dy".getBytes(StandardCharsets.UTF_8));
 			assertThat(readAll(socket)).startsWith("HTTP/1.1 503").containsIgnoringCase("connection: close");
 		}
 		assertThat(server.received()).isEmpty();
-		assertThat(this.gateway.open()).isZero();
+		assertThat(this.gateway.openRequests()).isZero();
 	}
 
 	@Test
-	void aBodyThatBeganInTimeIsRefusedWhenItEndsTooLate() throws IOException {
-		ScriptedServer server = this.gateway.routed().server((request, answer) -> answer.whole(200, SIGNED, "hello"));
+	void requestIsRejectedIfItsBodyEndsTooLate() throws IOException {
+		ScriptedServer server = this.gateway.withRoutes()
+			.addServer((request, answer) -> answer.respond(200, SIGNED, "hello"));
 		long nowMillis = this.gateway.nowMillis();
 		this.gateway.drain(StopSchedule.of(nowMillis, HOUR_MILLIS, HOUR_MILLIS + 1, ANSWER_MARGIN_MILLIS));
-		try (Socket socket = this.gateway.raw(HEAD + "Content-Length: 4\r\n\r\nbo")) {
-			awaitOpen();
-			this.gateway.passMillis(HOUR_MILLIS);
+		try (Socket socket = this.gateway.sendRaw(HEAD + "Content-Length: 4\r\n\r\nbo")) {
+			awaitOpenRequest();
+			this.gateway.advanceClock(HOUR_MILLIS);
 			socket.getOutputStream().write("dy".getBytes(StandardCharsets.UTF_8));
 			assertThat(readAll(socket)).startsWith("HTTP/1.1 503");
 		}
@@ -132,48 +136,51 @@
 	}
 
 	@Test
-	void aCallerThatAsksFirstIsNotToldToSendItsBody() throws IOException {
-		this.gateway.routed();
-		this.gateway.drain(noticed());
-		try (Socket socket = this.gateway.raw(HEAD + "Expect: 100-continue\r\nContent-Length: 4\r\n\r\n")) {
+	void expectContinueIsRejectedBeforeTheBodyDuringAStop() throws IOException {
+		this.gateway.withRoutes();
+		this.gateway.drain(stopInForce());
+		try (Socket socket = this.gateway.sendRaw(HEAD + "Expect: 100-continue\r\nContent-Length: 4\r\n\r\n")) {
 			assertThat(GatewayFixture.readSome(socket)).startsWith("HTTP/1.1 503");
 		}
 	}
 
 	@Test
-	void aRequestBehindTheOneThatIsAnsweredInAStopIsNotTaken() throws IOException {
-		ScriptedServer server = this.gateway.routed().server((request, answer) -> answer.whole(200, SIGNED, "hello"));
+	void pipelinedRequestIsNotAcceptedDuringAStop() throws IOException {
+		ScriptedServer server = this.gateway.withRoutes()
+			.addServer((request, answer) -> answer.respond(200, SIGNED, "hello"));
 		this.gateway.drain();
 		String request = HEAD + "Content-Length: 4\r\n\r\nbody";
-		try (Socket socket = this.gateway.raw(request + request)) {
+		try (Socket socket = this.gateway.sendRaw(request + request)) {
 			assertThat(readAll(socket)).startsWith("HTTP/1.1 200").endsWith("hello");
 		}
 		assertThat(server.received()).hasSize(1);
 	}
 
 	@Test
-	void nothingIsTakenOnceNothingIsOpenAndTheStopEnds() throws IOException, InterruptedException {
-		ScriptedServer server = this.gateway.routed().server((request, answer) -> answer.whole(200, SIGNED, "hello"));
-		try (Socket held = this.gateway.raw(HEAD)) {
-			this.gateway.stop(noticed()).join();
-			assertThat(readAll(held)).isEmpty();
+	void noRequestIsAcceptedAfterTheStopEnds() throws IOException, InterruptedException {
+		ScriptedServer server = this.gateway.withRoutes()
+			.addServer((request, answer) -> answer.respond(200, SIGNED, "hello"));
+		try (Socket idle = this.gateway.sendRaw(HEAD)) {
+			this.gateway.stop(stopInForce()).join();
+			assertThat(readAll(idle)).isEmpty();
 		}
 		assertThat(server.received()).isEmpty();
 	}
 
 	/**
-	 * Whoever was taken before the balancer noticed may ask for more than the stop has
-	 * left; the end is known, so that there is time for a true answer.
+	 * A request that was accepted before the balancer noticed the stop may have a
+	 * deadline after the end of the stop. The end is known, so there is time for an error
+	 * response.
 	 */
 	@Test
-	void whatIsStillOpenAtTheEndAndHasBegunNoAnswerIsAnsweredNotCutOff() throws IOException, InterruptedException {
-		this.gateway.routed().server((request, answer) -> answer.until(this.never));
+	void openRequestWithoutAResponseIsAnsweredAtTheEndOfTheStop() throws IOException, InterruptedException {
+		this.gateway.withRoutes().addServer((request, answer) -> answer.await(this.never));
 		long nowMillis = this.gateway.nowMillis();
 		Thread stop;
-		// Its connection stands when the gateway stops listening.
+		// The connection is open before the gateway stops listening.
 		try (Socket socket = this.gateway
-			.raw(HEAD.replace("many", "patient") + "t-patience: 8000\r\nContent-Length: 4\r\n\r\nbo")) {
-			awaitOpen();
+			.sendRaw(HEAD.replace("many", "patient") + "t-patience: 8000\r\nContent-Length: 4\r\n\r\nbo")) {
+			awaitOpenRequest();
 			stop = this.gateway
 				.stop(StopSchedule.of(nowMillis, STOP_LEFT_MILLIS, STOP_LEFT_MILLIS, ANSWER_MARGIN_MILLIS));
 			socket.getOutputStream().write("dy".getBytes(StandardCharsets.UTF_8));
@@ -183,26 +190,26 @@
 	}
 
 	@Test
-	void aBodyThatNeverComesIsAnsweredBeforeTheStopEnds() throws IOException, InterruptedException {
-		this.gateway.routed();
+	void requestWithoutItsBodyIsAnsweredBeforeTheStopEnds() throws IOException, InterruptedException {
+		this.gateway.withRoutes();
 		Thread stop;
-		// Its connection stands when the gateway stops listening.
-		try (Socket socket = this.gateway.raw(HEAD + "t-patience: 300\r\nContent-Length: 4\r\n\r\nbo")) {
-			awaitOpen();
-			stop = this.gateway.stop(noticed());
+		// The connection is open before the gateway stops listening.
+		try (Socket socket = this.gateway.sendRaw(HEAD + "t-patience: 300\r\nContent-Length: 4\r\n\r\nbo")) {
+			awaitOpenRequest();
+			stop = this.gateway.stop(stopInForce());
 			assertThat(readAll(socket)).startsWith("HTTP/1.1 503");
 		}
 		stop.join();
 	}
 
 	@Test
-	void aRequestThatWaitsForAServerInAStopIsRefusedBeforeItEnds() throws IOException, InterruptedException {
-		this.gateway.routed().server((request, answer) -> answer.whole(200, SIGNED, "hello"));
-		this.gateway.loadElsewhere(1000);
+	void requestThatWaitsForAServerIsRejectedBeforeTheStopEnds() throws IOException, InterruptedException {
+		this.gateway.withRoutes().addServer((request, answer) -> answer.respond(200, SIGNED, "hello"));
+		this.gateway.setPeerLoad(1000);
 		Thread stop;
-		try (Socket socket = this.gateway.raw(HEAD + "t-patience: 400\r\nContent-Length: 4\r\n\r\nbo")) {
-			awaitOpen();
-			stop = this.gateway.stop(noticed());
+		try (Socket socket = this.gateway.sendRaw(HEAD + "t-patience: 400\r\nContent-Length: 4\r\n\r\nbo")) {
+			awaitOpenRequest();
+			stop = this.gateway.stop(stopInForce());
 			socket.getOutputStream().write("dy".getBytes(StandardCharsets.UTF_8));
 			assertThat(readAll(socket)).startsWith("HTTP/1.1 503");
 		}
@@ -210,24 +217,24 @@
 	}
 
 	@Test
-	void aCallerThatReadsNothingHoldsUpAStopNoLongerThanItsEnd() throws IOException, InterruptedException {
+	void callerThatDoesNotReadDoesNotDelayTheStopBeyondItsEnd() throws IOException, InterruptedException {
 		String body = "x".repeat(8 << 20);
-		this.gateway.routed().server((request, answer) -> answer.whole(200, SIGNED, body));
-		long beganMillis = this.gateway.nowMillis();
-		try (Socket silent = this.gateway.raw(HEAD + "t-patience: 400\r\nContent-Length: 4\r\n\r\nbody")) {
+		this.gateway.withRoutes().addServer((request, answer) -> answer.respond(200, SIGNED, body));
+		long startMillis = this.gateway.nowMillis();
+		try (Socket silent = this.gateway.sendRaw(HEAD + "t-patience: 400\r\nContent-Length: 4\r\n\r\nbody")) {
 			assertThat(silent.getInputStream().read()).isEqualTo('H');
-			Thread stop = this.gateway.stop(noticed());
+			Thread stop = this.gateway.stop(stopInForce());
 			stop.join();
 		}
-		assertThat(this.gateway.nowMillis() - beganMillis).isLessThan(2 * STOP_LEFT_MILLIS);
+		assertThat(this.gateway.nowMillis() - startMillis).isLessThan(2 * STOP_LEFT_MILLIS);
 	}
 
 	private static String readAll(Socket socket) throws IOException {
 		return new String(socket.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
 	}
 
-	private void awaitOpen() {
-		while (this.gateway.open() == 0) {
+	private void awaitOpenRequest() {
+		while (this.gateway.openRequests() == 0) {
 			Thread.onSpinWait();
 		}
 	}
--- a/gateway/src/test/java/org/snowwind/gateway/request/RelayBlameTests.java
+++ b/gateway/src/test/java/org/snowwind/gateway/request/RelayBlameTests.java
@@ -19,8 +19,8 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Tests for what {@link Relay} does with requests under which servers ended, over real
- * sockets.
+ * Tests how {@link Relay} handles requests that are suspected of crashing servers, over
+ * real sockets.
  */
 class RelayBlameTests {
 
@@ -28,10 +28,10 @@
 
 	private static final String DIGEST = digestOf("org", "/many/a");
 
-	/** Longer than the two looks that the end of a server takes. */
-	private static final long LOOKED_MILLIS = 1000;
+	/** Longer than the two probes after which a server counts as ended. */
+	private static final long PROBED_MILLIS = 1000;
 
-	private final GatewayFixture gateway = new GatewayFixture().routed();
+	private final GatewayFixture gateway = new GatewayFixture().withRoutes();
 
 	@AfterEach
 	void close() {
@@ -42,7 +42,7 @@
 		return RequestDigest.of(organisation, "POST", "gateway.test", target, "body".getBytes(StandardCharsets.UTF_8));
 	}
 
-	private static SuspectView ends(String digest, int servers) {
+	private static SuspectView endsOfServers(String digest, int servers) {
 		Set<ServerEnd> ends = Stream.iterate(0, (i) -> i + 1)
 			.limit(servers)
 			.map((i) -> new ServerEnd(digest, "life-" + i))
@@ -51,29 +51,29 @@
 	}
 
 	private static ScriptedServer.Script ok() {
-		return (request, answer) -> answer.whole(200, SIGNED, "fine");
+		return (request, answer) -> answer.respond(200, SIGNED, "fine");
 	}
 
-	private ScriptedServer endingServer() {
+	private ScriptedServer addCrashingServer() {
 		CompletableFuture<ScriptedServer> self = new CompletableFuture<>();
-		self.complete(this.gateway.server((request, answer) -> {
+		self.complete(this.gateway.addServer((request, answer) -> {
 			self.join().close();
 			answer.reset();
 		}));
 		return self.join();
 	}
 
-	private List<String> awaitSeen() throws InterruptedException {
-		for (int look = 0; look < 500 && this.gateway.seen().isEmpty(); look++) {
+	private List<String> awaitSightings() throws InterruptedException {
+		for (int poll = 0; poll < 500 && this.gateway.sightings().isEmpty(); poll++) {
 			TimeUnit.MILLISECONDS.sleep(10);
 		}
-		return this.gateway.seen();
+		return this.gateway.sightings();
 	}
 
 	@Test
-	void aBlamedRequestIsRefusedAtOnceAndNotInvitedBack() throws IOException {
-		ScriptedServer server = this.gateway.server(ok());
-		this.gateway.knows(ends(DIGEST, 3));
+	void blamedRequestIsRejectedAtOnceWithoutRetryAfter() throws IOException {
+		ScriptedServer server = this.gateway.addServer(ok());
+		this.gateway.setSuspectView(endsOfServers(DIGEST, 3));
 		String answer = this.gateway.call("/many/a");
 		assertThat(answer).startsWith("HTTP/1.1 400")
 			.contains("ends-servers", DIGEST, "X-Snowwind-Outcome: failed")
@@ -83,70 +83,70 @@
 	}
 
 	@Test
-	void otherRequestsOfTheSameLengthAreServed() throws IOException {
-		this.gateway.server(ok());
-		this.gateway.knows(ends(DIGEST, 3));
+	void otherRequestsOfTheSameLengthAreNotRejected() throws IOException {
+		this.gateway.addServer(ok());
+		this.gateway.setSuspectView(endsOfServers(DIGEST, 3));
 		assertThat(this.gateway.call("/many/b")).startsWith("HTTP/1.1 200");
-		this.gateway.knows(ends(digestOf("another", "/many/a"), 3));
+		this.gateway.setSuspectView(endsOfServers(digestOf("another", "/many/a"), 3));
 		assertThat(this.gateway.call("/many/a")).startsWith("HTTP/1.1 200");
 	}
 
 	@Test
-	void aSuspectKeepsItsRetries() throws IOException {
-		this.gateway.server((request, answer) -> answer.reset());
-		this.gateway.server(ok());
-		this.gateway.knows(ends(DIGEST, 2));
+	void suspectedRequestIsStillRetried() throws IOException {
+		this.gateway.addServer((request, answer) -> answer.reset());
+		this.gateway.addServer(ok());
+		this.gateway.setSuspectView(endsOfServers(DIGEST, 2));
 		assertThat(this.gateway.call("/many/a")).startsWith("HTTP/1.1 200").endsWith("fine");
 	}
 
 	@Test
-	void aGraveSuspectIsSentOnceEachTime() throws IOException {
-		this.gateway.server((request, answer) -> answer.whole(503, "t-not-run: 1\r\n", ""));
-		ScriptedServer second = this.gateway.server(ok());
+	void stronglySuspectedRequestIsNotRetried() throws IOException {
+		this.gateway.addServer((request, answer) -> answer.respond(503, "t-not-run: 1\r\n", ""));
+		ScriptedServer second = this.gateway.addServer(ok());
 		Set<ServerEnd> ends = new HashSet<>();
 		for (int i = 0; i < 3; i++) {
 			ends.add(new ServerEnd(DIGEST, "life-" + i));
 			ends.add(new ServerEnd("9-another", "life-" + i));
 		}
-		this.gateway.knows(SuspectView.of(ends, Set.of()));
+		this.gateway.setSuspectView(SuspectView.of(ends, Set.of()));
 		assertThat(this.gateway.call("/many/a")).startsWith("HTTP/1.1 503").contains("not-run");
 		assertThat(second.received()).isEmpty();
 	}
 
 	@Test
-	void aRequestThatIsBlamedMeanwhileIsNotSentAgain() throws IOException {
-		this.gateway.server((request, answer) -> {
-			this.gateway.knows(ends(DIGEST, 3));
+	void requestBlamedDuringItsAttemptIsNotRetried() throws IOException {
+		this.gateway.addServer((request, answer) -> {
+			this.gateway.setSuspectView(endsOfServers(DIGEST, 3));
 			answer.reset();
 		});
-		ScriptedServer second = this.gateway.server(ok());
+		ScriptedServer second = this.gateway.addServer(ok());
 		assertThat(this.gateway.call("/many/a")).startsWith("HTTP/1.1 400").contains("ends-servers");
 		assertThat(second.received()).isEmpty();
 	}
 
 	@Test
-	void theEndOfAServerIsToldOfTheRequestsThatWereThere() throws Exception {
-		endingServer();
-		this.gateway.server(ok());
+	void endOfAServerIsReportedWithItsInFlightRequests() throws Exception {
+		addCrashingServer();
+		this.gateway.addServer(ok());
 		assertThat(this.gateway.call("/many/a")).startsWith("HTTP/1.1 200");
-		assertThat(awaitSeen()).containsExactly("server-0 ended under " + DIGEST);
+		assertThat(awaitSightings()).containsExactly("server-0 ended under " + DIGEST);
 	}
 
 	@Test
-	void aResetConnectionAndAGarbledAnswerAreNoEnds() throws Exception {
-		this.gateway.server((request, answer) -> answer.reset());
-		this.gateway.server((request, answer) -> answer.raw("rubbish\r\n\r\n"));
+	void resetConnectionOrMalformedResponseIsNotReportedAsAnEnd() throws Exception {
+		this.gateway.addServer((request, answer) -> answer.reset());
+		this.gateway.addServer((request, answer) -> answer.write("rubbish\r\n\r\n"));
 		this.gateway.call("/many/a");
-		TimeUnit.MILLISECONDS.sleep(LOOKED_MILLIS);
-		assertThat(this.gateway.seen()).isEmpty();
+		TimeUnit.MILLISECONDS.sleep(PROBED_MILLIS);
+		assertThat(this.gateway.sightings()).isEmpty();
 	}
 
 	@Test
-	void aSuspectThatIsAnsweredIsCleared() throws Exception {
-		this.gateway.server(ok());
-		this.gateway.knows(ends(DIGEST, 2));
+	void suspectedRequestThatIsAnsweredIsCleared() throws Exception {
+		this.gateway.addServer(ok());
+		this.gateway.setSuspectView(endsOfServers(DIGEST, 2));
 		assertThat(this.gateway.call("/many/a")).startsWith("HTTP/1.1 200");
-		assertThat(awaitSeen()).containsExactly("answered " + DIGEST);
+		assertThat(awaitSightings()).containsExactly("answered " + DIGEST);
 	}
 
 }
--- a/gateway/src/test/java/org/snowwind/gateway/request/RelayNoticeTests.java
+++ b/gateway/src/test/java/org/snowwind/gateway/request/RelayNoticeTests.java
@@ -10,7 +10,8 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * What a server announces in a response is kept beyond that response.
+ * Tests that {@link Relay} applies the announcements in a server's response to later
+ * requests.
  */
 class RelayNoticeTests {
 
@@ -20,15 +21,15 @@
 
 	private static final Pattern RETRY_AFTER = Pattern.compile("(?i)retry-after: ([0-9.]+)");
 
-	private final GatewayFixture gateway = new GatewayFixture().routed();
+	private final GatewayFixture gateway = new GatewayFixture().withRoutes();
 
 	@AfterEach
 	void close() {
 		this.gateway.close();
 	}
 
-	private ScriptedServer server(int status, String headers) {
-		return this.gateway.server((request, answer) -> answer.whole(status, headers, "x"));
+	private ScriptedServer addServer(int status, String headers) {
+		return this.gateway.addServer((request, answer) -> answer.respond(status, headers, "x"));
 	}
 
 	private static double retryAfterSeconds(String answer) {
@@ -39,13 +40,13 @@
 
 	@Test
 	void serverIsNotRetriedBeforeItsRetryAfterExpires() throws IOException {
-		ScriptedServer rejecting = server(503, "t-id: r1\r\n" + REJECTED);
-		ScriptedServer serving = server(200, SIGNED);
+		ScriptedServer rejecting = addServer(503, "t-id: r1\r\n" + REJECTED);
+		ScriptedServer serving = addServer(200, SIGNED);
 		for (int i = 0; i < 3; i++) {
 			assertThat(this.gateway.call("/once/a")).startsWith("HTTP/1.1 200");
 		}
 		assertThat(rejecting.received()).hasSize(1);
-		this.gateway.passMillis(70_000);
+		this.gateway.advanceClock(70_000);
 		assertThat(this.gateway.call("/once/a")).startsWith("HTTP/1.1 200");
 		assertThat(rejecting.received()).hasSize(2);
 		assertThat(serving.received()).hasSize(4);
@@ -53,8 +54,8 @@
 
 	@Test
 	void rejectionOfAnotherRequestStartsNoBackoff() throws IOException {
-		ScriptedServer rejecting = server(503, "t-id: r2\r\n" + REJECTED);
-		server(200, SIGNED);
+		ScriptedServer rejecting = addServer(503, "t-id: r2\r\n" + REJECTED);
+		addServer(200, SIGNED);
 		this.gateway.call("/once/a");
 		this.gateway.call("/once/a");
 		assertThat(rejecting.received()).hasSize(2);
@@ -62,8 +63,8 @@
 
 	@Test
 	void leavingServerGetsNoFurtherRequests() throws IOException {
-		ScriptedServer leaving = server(200, SIGNED + "t-leaving: 1\r\n");
-		ScriptedServer staying = server(200, SIGNED);
+		ScriptedServer leaving = addServer(200, SIGNED + "t-leaving: 1\r\n");
+		ScriptedServer staying = addServer(200, SIGNED);
 		for (int i = 0; i < 3; i++) {
 			assertThat(this.gateway.call("/once/a")).startsWith("HTTP/1.1 200");
 		}
@@ -73,7 +74,7 @@
 
 	@Test
 	void callerIsToldTheTrueReturnIfNoServerReturnsBeforeItsDeadline() throws IOException {
-		ScriptedServer rejecting = server(503, "t-id: r1\r\n" + REJECTED);
+		ScriptedServer rejecting = addServer(503, "t-id: r1\r\n" + REJECTED);
 		assertThat(retryAfterSeconds(this.gateway.call("/once/a"))).isBetween(59.0, 62.0);
 		assertThat(retryAfterSeconds(this.gateway.call("/once/a"))).isBetween(59.0, 62.0);
 		assertThat(rejecting.received()).hasSize(1);
--- a/gateway/src/test/java/org/snowwind/gateway/request/RelayTests.java
+++ b/gateway/src/test/java/org/snowwind/gateway/request/RelayTests.java
@@ -19,12 +19,15 @@
 
 	private static final String SIGNED = "t-signed: 1\r\nt-id: r1\r\n";
 
-	/** Longer than a server may be silent where another one may take over. */
+	/**
+	 * Longer than a server may send nothing before its attempt is aborted if another
+	 * attempt may follow.
+	 */
 	private static final long LONG_SILENCE_MILLIS = 1200;
 
 	private static final String CHUNKED = "HTTP/1.1 200 OK\r\n" + SIGNED + "Transfer-Encoding: chunked\r\n\r\n";
 
-	private final GatewayFixture gateway = new GatewayFixture().routed();
+	private final GatewayFixture gateway = new GatewayFixture().withRoutes();
 
 	@AfterEach
 	void close() {
@@ -32,25 +35,25 @@
 	}
 
 	private static ScriptedServer.Script ok(String body) {
-		return (request, answer) -> answer.whole(200, SIGNED, body);
+		return (request, answer) -> answer.respond(200, SIGNED, body);
 	}
 
-	private static ScriptedServer.Script refusing() {
-		return (request, answer) -> answer.whole(503, "t-not-run: 1\r\n", "");
+	private static ScriptedServer.Script rejecting() {
+		return (request, answer) -> answer.respond(503, "t-not-run: 1\r\n", "");
 	}
 
 	private static ScriptedServer.Script resetting() {
 		return (request, answer) -> answer.reset();
 	}
 
-	// ---- whole answers
+	// ---- complete responses
 
 	@Test
-	void aWholeAnswerIsPassedOnWithItsSignature() throws IOException {
-		ScriptedServer server = this.gateway.server(ok("hello"));
+	void completeResponseIsPassedOnWithItsSignature() throws IOException {
+		ScriptedServer server = this.gateway.addServer(ok("hello"));
 		String answer = this.gateway.call("/once/a?b=c", "t-patience: 1000");
 		assertThat(answer).startsWith("HTTP/1.1 200").contains("t-signed: 1").endsWith("hello");
-		ScriptedServer.Received received = server.received().get(0);
+		ScriptedServer.ReceivedRequest received = server.received().get(0);
 		assertThat(received.line()).isEqualTo("POST /once/a?b=c HTTP/1.1");
 		assertThat(received.body()).isEqualTo("body");
 		assertThat(received.headers()).containsEntry("t-id", "r1")
@@ -62,111 +65,111 @@
 	}
 
 	@Test
-	void aCallerCannotNameItsOrganisation() throws IOException {
-		ScriptedServer server = this.gateway.server(ok("x"));
+	void callerCannotSetItsOrganisation() throws IOException {
+		ScriptedServer server = this.gateway.addServer(ok("x"));
 		this.gateway.call("/once/a", "t-organisation: other");
 		assertThat(server.received().get(0).headers()).containsEntry("t-organisation", "org");
 	}
 
 	@Test
-	void aSuccessWithoutSignatureIsNotPassedOn() throws IOException {
-		this.gateway.server((request, answer) -> answer.whole(200, "t-id: r1\r\n", "false"));
+	void unsignedSuccessIsNotPassedOn() throws IOException {
+		this.gateway.addServer((request, answer) -> answer.respond(200, "t-id: r1\r\n", "false"));
 		assertThat(this.gateway.call("/once/a")).startsWith("HTTP/1.1 502").doesNotContain("false");
 	}
 
 	@Test
-	void anAnswerToAnotherRequestIsNotPassedOn() throws IOException {
-		this.gateway.server((request, answer) -> answer.whole(200, "t-signed: 1\r\nt-id: r2\r\n", "others"));
+	void responseToAnotherRequestIsNotPassedOn() throws IOException {
+		this.gateway.addServer((request, answer) -> answer.respond(200, "t-signed: 1\r\nt-id: r2\r\n", "others"));
 		assertThat(this.gateway.call("/once/a")).startsWith("HTTP/1.1 502").doesNotContain("others");
 	}
 
 	@Test
-	void whatFollowsAnAnswerIsNotPassedOn() throws IOException {
-		this.gateway.server((request, answer) -> {
-			answer.whole(200, SIGNED, "first");
-			answer.whole(200, SIGNED, "second");
+	void bytesAfterAResponseAreNotPassedOn() throws IOException {
+		this.gateway.addServer((request, answer) -> {
+			answer.respond(200, SIGNED, "first");
+			answer.respond(200, SIGNED, "second");
 		});
 		assertThat(this.gateway.call("/once/a")).endsWith("first");
 		assertThat(this.gateway.call("/once/a")).endsWith("first");
 	}
 
 	@Test
-	void bytesThatAreNoAnswerAreNotPassedOn() throws IOException {
-		this.gateway.server((request, answer) -> answer.raw("rubbish\r\n\r\n"));
+	void malformedResponseIsNotPassedOn() throws IOException {
+		this.gateway.addServer((request, answer) -> answer.write("rubbish\r\n\r\n"));
 		assertThat(this.gateway.call("/once/a")).startsWith("HTTP/1.1 502");
 	}
 
 	@Test
-	void anAnswerThatEndsWithItsConnectionIsWhole() throws IOException {
-		this.gateway.server((request, answer) -> answer.raw("HTTP/1.1 200 OK\r\n" + SIGNED + "\r\nunframed"));
+	void unframedResponseThatEndsWithItsConnectionIsComplete() throws IOException {
+		this.gateway.addServer((request, answer) -> answer.write("HTTP/1.1 200 OK\r\n" + SIGNED + "\r\nunframed"));
 		assertThat(this.gateway.call("/once/a")).startsWith("HTTP/1.1 200")
 			.contains("content-length: 8")
 			.endsWith("unframed");
 	}
 
 	@Test
-	void anUnframedAnswerThatIsResetIsNotWhole() throws IOException {
-		this.gateway.server((request, answer) -> {
-			answer.raw("HTTP/1.1 200 OK\r\n" + SIGNED + "\r\nunfra");
+	void unframedResponseThatIsResetIsNotComplete() throws IOException {
+		this.gateway.addServer((request, answer) -> {
+			answer.write("HTTP/1.1 200 OK\r\n" + SIGNED + "\r\nunfra");
 			answer.reset();
 		});
 		assertThat(this.gateway.call("/once/a")).startsWith("HTTP/1.1 502");
 	}
 
 	@Test
-	void anAnswerThatIsCutShortIsNotPassedOn() throws IOException {
-		this.gateway
-			.server((request, answer) -> answer.raw("HTTP/1.1 200 OK\r\n" + SIGNED + "Content-Length: 9\r\n\r\ncut"));
-		this.gateway.server(ok("whole"));
+	void truncatedResponseIsNotPassedOn() throws IOException {
+		this.gateway.addServer(
+				(request, answer) -> answer.write("HTTP/1.1 200 OK\r\n" + SIGNED + "Content-Length: 9\r\n\r\ncut"));
+		this.gateway.addServer(ok("whole"));
 		assertThat(this.gateway.call("/many/a")).startsWith("HTTP/1.1 200").endsWith("whole");
 	}
 
 	// ---- at most once
 
 	@Test
-	void aLostRequestThatMayRunOnceIsNotSentAgain() throws IOException {
-		this.gateway.server(resetting());
-		ScriptedServer second = this.gateway.server(ok("x"));
+	void lostAtMostOnceRequestIsNotSentAgain() throws IOException {
+		this.gateway.addServer(resetting());
+		ScriptedServer second = this.gateway.addServer(ok("x"));
 		assertThat(this.gateway.call("/once/a")).startsWith("HTTP/1.1 502").contains("unknown");
 		assertThat(second.received()).isEmpty();
 	}
 
 	@Test
-	void aRequestIsSentAgainOnProofThatItDidNotRun() throws IOException {
-		this.gateway.server(refusing());
-		ScriptedServer second = this.gateway.server(ok("x"));
+	void rejectedRequestIsSentAgainOnProofThatItDidNotRun() throws IOException {
+		this.gateway.addServer(rejecting());
+		ScriptedServer second = this.gateway.addServer(ok("x"));
 		assertThat(this.gateway.call("/once/a")).startsWith("HTTP/1.1 200");
 		assertThat(second.received()).hasSize(1);
 	}
 
 	@Test
-	void aServerThatIsAnotherRunIsProofToo() throws IOException {
-		ScriptedServer other = this.gateway.server((request, answer) -> answer.whole(421, "", ""));
-		this.gateway.server(ok("x"));
+	void responseOfAnotherIncarnationProvesThatTheRequestDidNotRun() throws IOException {
+		ScriptedServer other = this.gateway.addServer((request, answer) -> answer.respond(421, "", ""));
+		this.gateway.addServer(ok("x"));
 		assertThat(this.gateway.call("/once/a")).startsWith("HTTP/1.1 200");
 		assertThat(this.gateway.call("/once/a")).startsWith("HTTP/1.1 200");
-		assertThat(other.received()).as("it gets nothing more").hasSize(1);
+		assertThat(other.received()).as("it is sent no further requests").hasSize(1);
 	}
 
 	@Test
-	void aServerThatCannotBeReachedHasRunNothing() throws IOException {
-		this.gateway.deadServer();
-		this.gateway.server(ok("x"));
+	void requestToAnUnreachableServerIsSentAgain() throws IOException {
+		this.gateway.addUnreachableServer();
+		this.gateway.addServer(ok("x"));
 		assertThat(this.gateway.call("/once/a")).startsWith("HTTP/1.1 200");
 	}
 
 	@Test
-	void whenAllRefuseTheCallerIsToldThatNothingRanAndWhenToComeBack() throws IOException {
-		this.gateway.server(refusing());
+	void rejectionByAllServersIsReportedAsNotRunWithRetryAfter() throws IOException {
+		this.gateway.addServer(rejecting());
 		assertThat(this.gateway.call("/once/a")).startsWith("HTTP/1.1 503")
 			.containsIgnoringCase("retry-after: 0.")
 			.contains("not-run");
 	}
 
 	@Test
-	void aCallerThatCameBackIsToldAtOnceThatAGroupIsStillClosed() throws IOException {
-		try (GatewayFixture ranks = new GatewayFixture().routedToRanks()) {
-			ScriptedServer server = ranks.server(ok("x"));
+	void retryToAClosedGroupIsRejectedAtOnce() throws IOException {
+		try (GatewayFixture ranks = new GatewayFixture().withRoutesToRanks()) {
+			ScriptedServer server = ranks.addServer(ok("x"));
 			ranks.closeGroup();
 			assertThat(ranks.call("/once/a", "t-patience: 1300")).startsWith("HTTP/1.1 503")
 				.containsIgnoringCase("retry-after: 0.")
@@ -176,9 +179,9 @@
 	}
 
 	@Test
-	void aCallerThatAsksFirstIsToldAtOnceToComeBackToAClosedGroup() throws IOException {
-		try (GatewayFixture ranks = new GatewayFixture().routedToRanks()) {
-			ScriptedServer server = ranks.server(ok("x"));
+	void firstRequestToAClosedGroupIsRejectedAtOnce() throws IOException {
+		try (GatewayFixture ranks = new GatewayFixture().withRoutesToRanks()) {
+			ScriptedServer server = ranks.addServer(ok("x"));
 			ranks.closeGroup();
 			assertThat(ranks.call("/once/a", "t-patience: 1500")).startsWith("HTTP/1.1 503")
 				.containsIgnoringCase("retry-after: 0.");
@@ -187,15 +190,15 @@
 	}
 
 	@Test
-	void aRefusalWithoutProofIsNoPromise() throws IOException {
-		this.gateway.server((request, answer) -> answer.whole(503, SIGNED, "busy"));
+	void rejectionWithoutProofIsNotReportedAsNotRun() throws IOException {
+		this.gateway.addServer((request, answer) -> answer.respond(503, SIGNED, "busy"));
 		assertThat(this.gateway.call("/once/a")).startsWith("HTTP/1.1 502");
 	}
 
 	@Test
-	void aFailureOfARequestThatMayRunOnceIsPassedOn() throws IOException {
-		this.gateway.server((request, answer) -> answer.whole(500, SIGNED, "oops"));
-		ScriptedServer second = this.gateway.server(ok("x"));
+	void failureOfAnAtMostOnceRequestIsPassedOn() throws IOException {
+		this.gateway.addServer((request, answer) -> answer.respond(500, SIGNED, "oops"));
+		ScriptedServer second = this.gateway.addServer(ok("x"));
 		assertThat(this.gateway.call("/once/a")).startsWith("HTTP/1.1 500").endsWith("oops");
 		assertThat(second.received()).isEmpty();
 	}
@@ -203,37 +206,38 @@
 	// ---- repeatable requests
 
 	@Test
-	void aRepeatableRequestIsSentElsewhereAfterAFailure() throws IOException {
-		this.gateway.server((request, answer) -> answer.whole(500, SIGNED, "oops"));
-		this.gateway.server(ok("fine"));
+	void repeatableRequestIsSentToAnotherServerAfterAFailure() throws IOException {
+		this.gateway.addServer((request, answer) -> answer.respond(500, SIGNED, "oops"));
+		this.gateway.addServer(ok("fine"));
 		assertThat(this.gateway.call("/many/a")).startsWith("HTTP/1.1 200").endsWith("fine");
 	}
 
 	@Test
-	void aFailureThatRepeatsIsPassedOnAsTheServerGaveIt() throws IOException {
-		this.gateway.server((request, answer) -> answer.whole(500, SIGNED, "oops"));
+	void repeatedFailureIsPassedOnUnchanged() throws IOException {
+		this.gateway.addServer((request, answer) -> answer.respond(500, SIGNED, "oops"));
 		assertThat(this.gateway.call("/many/a")).startsWith("HTTP/1.1 500").contains("t-signed").endsWith("oops");
 	}
 
 	/**
-	 * A caller got 503, which promises that its request has not run, though a server had
-	 * begun it and ended. The servers that were tried afterwards refused it, and none was
-	 * left; what was told went by the last attempt alone.
+	 * Guards against a 503, which promises that the request has not run, for a request
+	 * that a server had begun before it ended. This happens if the servers that are tried
+	 * afterwards all reject the request and only the last attempt determines the
+	 * response.
 	 */
 	@Test
-	void aRequestThatRanIsNotSaidToBeNotRunBecauseOthersRefuseIt() throws IOException {
-		this.gateway.server(resetting());
+	void requestThatMayHaveRunIsNotReportedAsNotRunAfterLaterRejections() throws IOException {
+		this.gateway.addServer(resetting());
 		for (int i = 0; i < 4; i++) {
-			this.gateway.server(refusing());
+			this.gateway.addServer(rejecting());
 		}
 		assertThat(this.gateway.call("/many/a")).startsWith("HTTP/1.1 502").contains("unknown");
 	}
 
 	@Test
-	void noMoreServersRunARequestThanItsRouteAllows() throws IOException {
-		ScriptedServer first = this.gateway.server(resetting());
-		ScriptedServer second = this.gateway.server(resetting());
-		ScriptedServer third = this.gateway.server(ok("x"));
+	void requestIsNotRunMoreOftenThanItsRouteAllows() throws IOException {
+		ScriptedServer first = this.gateway.addServer(resetting());
+		ScriptedServer second = this.gateway.addServer(resetting());
+		ScriptedServer third = this.gateway.addServer(ok("x"));
 		assertThat(this.gateway.call("/many/a")).startsWith("HTTP/1.1 502");
 		assertThat(first.received().size() + second.received().size()).isEqualTo(2);
 		assertThat(third.received()).isEmpty();
@@ -242,29 +246,23 @@
 	// ---- streams
 
 	/**
-	 * Callers got a 200 with a server's signature whose first event was not that
-	 * server's. A server broke off within its first event; nothing had gone to the
-	 * caller, so that the request was sent anew rather than continued; the piece that was
-	 * left of the first server's event was put before the second server's first one.
-	 *
-	 * <p>
-	 * Evidence: SW-4107 tells what an attempt left of an unfinished event. On three days
-	 * of the same troubles 6, 2 and 3 requests were sent anew after an attempt that had
-	 * left some, and then answered; 6, 2 and 3 callers got a wrong event and a wrong
-	 * body. A second attempt that broke, too, held the bytes of both (65 and 65 made
-	 * 130).
+	 * Guards against a signed 200 whose first event contains bytes of another server.
+	 * This happens if the first server breaks within its first event and the held bytes
+	 * of that event are kept: no event was delivered, so the request is sent again from
+	 * the start, and the held bytes precede the second server's first event. Bytes of
+	 * several broken attempts add up. Event SW-4107 logs how many bytes an attempt held.
 	 */
 	@Test
-	void aStreamThatBreaksWithinItsFirstEventIsSentAnewWithoutTheTornPiece() throws IOException {
-		this.gateway.server((request, answer) -> {
-			answer.raw(CHUNKED);
-			answer.chunk("id: 8\nda");
+	void partialFirstEventIsDroppedWhenTheRequestIsSentAgain() throws IOException {
+		this.gateway.addServer((request, answer) -> {
+			answer.write(CHUNKED);
+			answer.writeChunk("id: 8\nda");
 			answer.reset();
 		});
-		ScriptedServer second = this.gateway.server((request, answer) -> {
-			answer.raw(CHUNKED);
-			answer.chunk("id: 8\ndata: h\n\n");
-			answer.raw("0\r\n\r\n");
+		ScriptedServer second = this.gateway.addServer((request, answer) -> {
+			answer.write(CHUNKED);
+			answer.writeChunk("id: 8\ndata: h\n\n");
+			answer.write("0\r\n\r\n");
 		});
 		String answer = this.gateway.call("/stream/a", "t-last: 7");
 		assertThat(second.received().get(0).headers()).containsEntry("t-last", "7");
@@ -273,17 +271,17 @@
 	}
 
 	@Test
-	void aStreamThatBreaksWithinAnEventGoesOnElsewhereAtTheNextOne() throws IOException {
-		this.gateway.server((request, answer) -> {
-			answer.raw(CHUNKED);
-			answer.chunk("id: 1\ndata: a\n\nid: 2\nda");
+	void streamBrokenWithinAnEventContinuesOnAnotherServer() throws IOException {
+		this.gateway.addServer((request, answer) -> {
+			answer.write(CHUNKED);
+			answer.writeChunk("id: 1\ndata: a\n\nid: 2\nda");
 			answer.reset();
 		});
-		ScriptedServer second = this.gateway.server((request, answer) -> {
-			answer.raw(CHUNKED);
-			answer.chunk("id: 2\ndata: b\n\n");
-			answer.chunk("id: 3\ndata: c\n\n");
-			answer.raw("0\r\n\r\n");
+		ScriptedServer second = this.gateway.addServer((request, answer) -> {
+			answer.write(CHUNKED);
+			answer.writeChunk("id: 2\ndata: b\n\n");
+			answer.writeChunk("id: 3\ndata: c\n\n");
+			answer.write("0\r\n\r\n");
 		});
 		String answer = this.gateway.call("/stream/a");
 		assertThat(answer.replaceAll("\r\n[0-9a-f]+\r\n", ""))
@@ -293,64 +291,64 @@
 	}
 
 	@Test
-	void aStreamThatMayNotBeResumedBreaksVisibly() throws IOException {
-		this.gateway.server((request, answer) -> {
-			answer.raw(CHUNKED);
-			answer.chunk("id: 1\ndata: a\n\n");
+	void brokenStreamThatIsNotResumableIsAborted() throws IOException {
+		this.gateway.addServer((request, answer) -> {
+			answer.write(CHUNKED);
+			answer.writeChunk("id: 1\ndata: a\n\n");
 			answer.reset();
 		});
-		ScriptedServer second = this.gateway.server(ok("x"));
+		ScriptedServer second = this.gateway.addServer(ok("x"));
 		assertThat(this.gateway.call("/frail/a")).contains("data: a").doesNotEndWith("0\r\n\r\n");
 		assertThat(second.received()).isEmpty();
 	}
 
 	@Test
-	void aStreamThatEndsWithinAnEventIsNotWhole() throws IOException {
-		this.gateway.server((request, answer) -> {
-			answer.raw(CHUNKED);
-			answer.chunk("id: 1\ndata: a\n\nid: 2\nda");
-			answer.raw("0\r\n\r\n");
+	void streamThatEndsWithinAnEventIsNotComplete() throws IOException {
+		this.gateway.addServer((request, answer) -> {
+			answer.write(CHUNKED);
+			answer.writeChunk("id: 1\ndata: a\n\nid: 2\nda");
+			answer.write("0\r\n\r\n");
 		});
 		assertThat(this.gateway.call("/frail/a")).doesNotEndWith("0\r\n\r\n").doesNotContain("id: 2");
 	}
 
 	@Test
-	void aStreamWhoseServerFallsSilentGoesOnElsewhere() throws IOException {
+	void stalledStreamContinuesOnAnotherServer() throws IOException {
 		CountDownLatch over = new CountDownLatch(1);
-		this.gateway.server((request, answer) -> {
-			answer.raw(CHUNKED);
-			answer.chunk("id: 1\ndata: a\n\n");
-			answer.until(over);
+		this.gateway.addServer((request, answer) -> {
+			answer.write(CHUNKED);
+			answer.writeChunk("id: 1\ndata: a\n\n");
+			answer.await(over);
 		});
-		this.gateway.server((request, answer) -> {
-			answer.raw(CHUNKED);
-			answer.chunk("id: 2\ndata: b\n\n");
-			answer.raw("0\r\n\r\n");
+		this.gateway.addServer((request, answer) -> {
+			answer.write(CHUNKED);
+			answer.writeChunk("id: 2\ndata: b\n\n");
+			answer.write("0\r\n\r\n");
 		});
 		assertThat(this.gateway.call("/stream/a")).contains("data: b").endsWith("0\r\n\r\n");
 		over.countDown();
 	}
 
-	// ---- time and callers
+	// ---- deadlines and callers
 
 	@Test
-	void aRequestIsAnsweredAtItsRoutesTimeout() throws IOException {
+	void requestIsAnsweredAtItsRoutesTimeout() throws IOException {
 		CountDownLatch over = new CountDownLatch(1);
-		this.gateway.server((request, answer) -> answer.until(over));
-		long beganNanos = System.nanoTime();
+		this.gateway.addServer((request, answer) -> answer.await(over));
+		long startNanos = System.nanoTime();
 		assertThat(this.gateway.call("/once/a", "t-patience: 60000")).startsWith("HTTP/1.1 504");
-		long tookMillis = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - beganNanos);
+		long tookMillis = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startNanos);
 		assertThat(tookMillis).isGreaterThanOrEqualTo(GatewayFixture.TIMEOUT_MILLIS - 100);
 		over.countDown();
 	}
 
 	@Test
-	void timeInWhichTheVmWasSuspendedCounts() throws Exception {
+	void timeDuringVmSuspensionCountsTowardsTheDeadline() throws Exception {
 		CountDownLatch arrived = new CountDownLatch(1);
 		CountDownLatch over = new CountDownLatch(1);
-		this.gateway.server((request, answer) -> {
+		this.gateway.addServer((request, answer) -> {
 			arrived.countDown();
-			answer.until(over);
+			answer.await(over);
 		});
 		try (Socket caller = this.gateway.send("/patient/a", "t-patience: 60000")) {
 			assertThat(arrived.await(5, TimeUnit.SECONDS)).isTrue();
@@ -361,15 +359,15 @@
 	}
 
 	@Test
-	void aServerIsNotHandedTimeThatPassedInASuspension() throws Exception {
+	void remainingTimeSentToAServerExcludesVmSuspension() throws Exception {
 		CountDownLatch arrived = new CountDownLatch(1);
 		CountDownLatch over = new CountDownLatch(1);
-		this.gateway.server((request, answer) -> {
+		this.gateway.addServer((request, answer) -> {
 			arrived.countDown();
-			answer.until(over);
+			answer.await(over);
 			answer.reset();
 		});
-		ScriptedServer second = this.gateway.server(ok("x"));
+		ScriptedServer second = this.gateway.addServer(ok("x"));
 		try (Socket caller = this.gateway.send("/patient/a", "t-patience: 60000")) {
 			assertThat(arrived.await(5, TimeUnit.SECONDS)).isTrue();
 			this.gateway.suspend(50_000);
@@ -380,21 +378,21 @@
 	}
 
 	@Test
-	void aSilentServerIsWaitedForWhereNoOtherMayTakeOver() throws IOException {
-		this.gateway.server((request, answer) -> {
-			answer.until(new CountDownLatch(1), LONG_SILENCE_MILLIS);
-			answer.raw(CHUNKED);
-			answer.chunk("id: 1\ndata: late\n\n");
-			answer.raw("0\r\n\r\n");
+	void stalledServerIsNotAbortedOnTheLastAttempt() throws IOException {
+		this.gateway.addServer((request, answer) -> {
+			answer.await(new CountDownLatch(1), LONG_SILENCE_MILLIS);
+			answer.write(CHUNKED);
+			answer.writeChunk("id: 1\ndata: late\n\n");
+			answer.write("0\r\n\r\n");
 		});
 		assertThat(this.gateway.call("/single/a")).contains("data: late").endsWith("0\r\n\r\n");
 	}
 
 	@Test
-	void aCallerThatLeavesEndsTheServersWork() throws Exception {
+	void callerDisconnectCancelsTheAttempt() throws Exception {
 		CompletableFuture<Boolean> closed = new CompletableFuture<>();
 		CountDownLatch arrived = new CountDownLatch(1);
-		this.gateway.server((request, answer) -> {
+		this.gateway.addServer((request, answer) -> {
 			arrived.countDown();
 			closed.complete(closedByGateway(answer));
 		});
@@ -402,35 +400,35 @@
 		assertThat(arrived.await(5, TimeUnit.SECONDS)).isTrue();
 		caller.close();
 		assertThat(closed.get(1, TimeUnit.SECONDS)).isTrue();
-		assertThat(this.gateway.open()).isZero();
+		assertThat(this.gateway.openRequests()).isZero();
 	}
 
 	@Test
-	void aCallerThatLeavesWhileItWaitsForAPlaceIsSentNowhere() throws Exception {
-		try (GatewayFixture ranks = new GatewayFixture().routedToRanks()) {
-			ScriptedServer server = ranks.server(ok("x"));
-			ranks.loadElsewhere(8);
+	void requestIsNotSentIfItsCallerDisconnectsWhileItWaits() throws Exception {
+		try (GatewayFixture ranks = new GatewayFixture().withRoutesToRanks()) {
+			ScriptedServer server = ranks.addServer(ok("x"));
+			ranks.setPeerLoad(8);
 			Socket caller = ranks.send("/patient/a");
-			awaitOpen(ranks, 1);
+			awaitOpenRequests(ranks, 1);
 			caller.close();
-			awaitOpen(ranks, 0);
-			ranks.loadElsewhere(0);
+			awaitOpenRequests(ranks, 0);
+			ranks.setPeerLoad(0);
 			assertThat(ranks.call("/once/b")).startsWith("HTTP/1.1 200");
 			assertThat(server.received()).as("only the second caller's request").hasSize(1);
 		}
 	}
 
 	/**
-	 * A caller was told that its request may have run, since an attempt had been made:
-	 * the server had refused it, and it only waited for a place elsewhere.
+	 * Guards against a response that says that the request may have run although its only
+	 * attempt was rejected and it only waits for another server.
 	 */
 	@Test
-	void aRefusedRequestThatWaitsForAPlaceHasNotRun() throws Exception {
-		try (GatewayFixture ranks = new GatewayFixture().routedToRanks()) {
+	void rejectedRequestThatWaitsForAServerIsReportedAsNotRun() throws Exception {
+		try (GatewayFixture ranks = new GatewayFixture().withRoutesToRanks()) {
 			CountDownLatch refused = new CountDownLatch(1);
-			ranks.server((request, answer) -> {
-				ranks.loadElsewhere(8);
-				answer.whole(503, "t-not-run: 1\r\n", "");
+			ranks.addServer((request, answer) -> {
+				ranks.setPeerLoad(8);
+				answer.respond(503, "t-not-run: 1\r\n", "");
 				refused.countDown();
 			});
 			try (Socket caller = ranks.send("/patient/a")) {
@@ -444,30 +442,30 @@
 	}
 
 	@Test
-	void aCallerThatLeavesIsNotTriedElsewhere() throws Exception {
+	void requestIsNotRetriedAfterItsCallerDisconnects() throws Exception {
 		CountDownLatch arrived = new CountDownLatch(1);
 		CompletableFuture<Boolean> closed = new CompletableFuture<>();
-		this.gateway.server((request, answer) -> {
+		this.gateway.addServer((request, answer) -> {
 			arrived.countDown();
 			closed.complete(closedByGateway(answer));
 		});
-		ScriptedServer second = this.gateway.server(ok("x"));
+		ScriptedServer second = this.gateway.addServer(ok("x"));
 		Socket caller = this.gateway.send("/many/a");
 		assertThat(arrived.await(5, TimeUnit.SECONDS)).isTrue();
 		caller.close();
 		assertThat(closed.get(1, TimeUnit.SECONDS)).isTrue();
-		awaitOpen(this.gateway, 0);
+		awaitOpenRequests(this.gateway, 0);
 		assertThat(second.received()).isEmpty();
 	}
 
-	private static void awaitOpen(GatewayFixture gateway, int open) throws InterruptedException {
-		for (int look = 0; look < 500 && gateway.open() != open; look++) {
+	private static void awaitOpenRequests(GatewayFixture gateway, int expected) throws InterruptedException {
+		for (int poll = 0; poll < 500 && gateway.openRequests() != expected; poll++) {
 			TimeUnit.MILLISECONDS.sleep(10);
 		}
-		assertThat(gateway.open()).isEqualTo(open);
+		assertThat(gateway.openRequests()).isEqualTo(expected);
 	}
 
-	private static boolean closedByGateway(ScriptedServer.Answering answer) throws IOException {
+	private static boolean closedByGateway(ScriptedServer.ResponseWriter answer) throws IOException {
 		try {
 			return answer.awaitClosed();
 		}
@@ -477,23 +475,23 @@
 	}
 
 	@Test
-	void whoIsNotKnownOrGoesNowhereIsToldSo() throws IOException {
-		ScriptedServer server = this.gateway.server(ok("x"));
+	void unknownKeyAndUnknownPathAreRejected() throws IOException {
+		ScriptedServer server = this.gateway.addServer(ok("x"));
 		assertThat(this.gateway.call("/once/a", "t-key: wrong")).startsWith("HTTP/1.1 401");
 		assertThat(this.gateway.call("/nowhere/a")).startsWith("HTTP/1.1 404");
 		assertThat(server.received()).isEmpty();
 	}
 
 	@Test
-	void beforeAnyConfigurationARequestIsPutOffAndNotDenied() throws IOException {
+	void requestBeforeAnyConfigurationIsRejectedWithRetryAfter() throws IOException {
 		try (GatewayFixture fresh = new GatewayFixture()) {
 			assertThat(fresh.call("/once/a")).startsWith("HTTP/1.1 503").containsIgnoringCase("retry-after");
 		}
 	}
 
 	@Test
-	void aDrainingGatewayClosesConnectionsWithTheirAnswers() throws IOException {
-		this.gateway.server(ok("x"));
+	void drainingGatewayClosesEachConnectionAfterItsResponse() throws IOException {
+		this.gateway.addServer(ok("x"));
 		this.gateway.drain();
 		assertThat(this.gateway.call("/once/a")).containsIgnoringCase("connection: close").endsWith("x");
 	}
--- a/gateway/src/test/java/org/snowwind/gateway/request/ScriptedServer.java
+++ b/gateway/src/test/java/org/snowwind/gateway/request/ScriptedServer.java
@@ -19,7 +19,8 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A backend server that does with each request what a script says, byte by byte.
+ * A backend server that handles each request by a script, which controls every byte of
+ * the response.
  */
 final class ScriptedServer implements AutoCloseable {
 
@@ -27,7 +28,7 @@
 
 	private final Script script;
 
-	private final List<Received> received = new CopyOnWriteArrayList<>();
+	private final List<ReceivedRequest> received = new CopyOnWriteArrayList<>();
 
 	ScriptedServer(Script script) {
 		this.script = script;
@@ -37,11 +38,11 @@
 		catch (IOException ex) {
 			throw new UncheckedIOException(ex);
 		}
-		daemon(this::acceptAll);
+		runOnDaemonThread(this::acceptAll);
 	}
 
-	private static void daemon(Runnable work) {
-		Thread thread = new Thread(work, "scripted-server");
+	private static void runOnDaemonThread(Runnable task) {
+		Thread thread = new Thread(task, "scripted-server");
 		thread.setDaemon(true);
 		thread.start();
 	}
@@ -50,7 +51,7 @@
 		return this.listener.getLocalPort();
 	}
 
-	List<Received> received() {
+	List<ReceivedRequest> received() {
 		return this.received;
 	}
 
@@ -58,7 +59,7 @@
 		while (!this.listener.isClosed()) {
 			try {
 				Socket socket = this.listener.accept();
-				daemon(() -> serve(socket));
+				runOnDaemonThread(() -> serve(socket));
 			}
 			catch (IOException ex) {
 				return;
@@ -68,14 +69,14 @@
 
 	private void serve(Socket socket) {
 		try (socket) {
-			Received request = Received.read(new BufferedInputStream(socket.getInputStream()));
+			ReceivedRequest request = ReceivedRequest.read(new BufferedInputStream(socket.getInputStream()));
 			if (request != null) {
 				this.received.add(request);
-				this.script.answer(request, new Answering(socket));
+				this.script.handle(request, new ResponseWriter(socket));
 			}
 		}
 		catch (IOException ex) {
-			// The gateway has closed the connection, which is what some scripts wait for.
+			// The gateway has closed the connection; some scripts wait for this.
 		}
 	}
 
@@ -90,31 +91,31 @@
 	}
 
 	/**
-	 * What a server does with a request.
+	 * Handles the requests of a server.
 	 */
 	@FunctionalInterface
 	interface Script {
 
 		/**
-		 * Answers, or does not.
+		 * Handles a request, with or without a response.
 		 * @param request the request
-		 * @param answer the way to answer; the connection is closed afterwards
+		 * @param answer writes the response; the connection is closed afterwards
 		 * @throws IOException if the connection is closed by the other side
 		 */
-		void answer(Received request, Answering answer) throws IOException;
+		void handle(ReceivedRequest request, ResponseWriter answer) throws IOException;
 
 	}
 
 	/**
-	 * A request as it arrived.
+	 * A request as it was received.
 	 *
-	 * @param line its first line
-	 * @param headers its headers by lower-case name
-	 * @param body its body
+	 * @param line the request line
+	 * @param headers the headers by lower-case name
+	 * @param body the body
 	 */
-	record Received(String line, Map<String, String> headers, String body) {
+	record ReceivedRequest(String line, Map<String, String> headers, String body) {
 
-		static Received read(InputStream in) throws IOException {
+		static ReceivedRequest read(InputStream in) throws IOException {
 			String line = readLine(in);
 			if (line.isEmpty()) {
 				return null;
@@ -125,7 +126,7 @@
 				headers.put(header.substring(0, colon).toLowerCase(Locale.ROOT), header.substring(colon + 1).strip());
 			}
 			int length = Integer.parseInt(headers.getOrDefault("content-length", "0"));
-			return new Received(line, headers, new String(in.readNBytes(length), StandardCharsets.UTF_8));
+			return new ReceivedRequest(line, headers, new String(in.readNBytes(length), StandardCharsets.UTF_8));
 		}
 
 		private static String readLine(InputStream in) throws IOException {
@@ -139,32 +140,32 @@
 	}
 
 	/**
-	 * The way to answer a request.
+	 * Writes the response to a request.
 	 */
-	static final class Answering {
+	static final class ResponseWriter {
 
-		private static final long GONE_SECONDS = 10;
+		private static final long MAX_WAIT_SECONDS = 10;
 
 		private final Socket socket;
 
 		private final OutputStream out;
 
-		private Answering(Socket socket) throws IOException {
+		private ResponseWriter(Socket socket) throws IOException {
 			this.socket = socket;
 			this.out = socket.getOutputStream();
 		}
 
-		void raw(String text) throws IOException {
+		void write(String text) throws IOException {
 			this.out.write(text.getBytes(StandardCharsets.UTF_8));
 			this.out.flush();
 		}
 
-		void whole(int status, String headers, String body) throws IOException {
-			raw("HTTP/1.1 " + status + " X\r\n" + headers + "Content-Length: " + body.length() + "\r\n\r\n" + body);
+		void respond(int status, String headers, String body) throws IOException {
+			write("HTTP/1.1 " + status + " X\r\n" + headers + "Content-Length: " + body.length() + "\r\n\r\n" + body);
 		}
 
-		void chunk(String text) throws IOException {
-			raw(Integer.toHexString(text.length()) + "\r\n" + text + "\r\n");
+		void writeChunk(String text) throws IOException {
+			write(Integer.toHexString(text.length()) + "\r\n" + text + "\r\n");
 		}
 
 		void reset() throws IOException {
@@ -174,21 +175,21 @@
 
 		/**
 		 * Waits until the gateway closes the connection.
-		 * @return true if it did
-		 * @throws IOException if it was reset
+		 * @return true if the gateway closed it
+		 * @throws IOException if the connection was reset
 		 */
 		boolean awaitClosed() throws IOException {
-			this.socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(GONE_SECONDS));
+			this.socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(MAX_WAIT_SECONDS));
 			return this.socket.getInputStream().read() < 0;
 		}
 
-		void until(CountDownLatch latch) {
-			until(latch, TimeUnit.SECONDS.toMillis(GONE_SECONDS));
+		void await(CountDownLatch latch) {
+			await(latch, TimeUnit.SECONDS.toMillis(MAX_WAIT_SECONDS));
 		}
 
-		void until(CountDownLatch latch, long mostMillis) {
+		void await(CountDownLatch latch, long timeoutMillis) {
 			try {
-				latch.await(mostMillis, TimeUnit.MILLISECONDS);
+				latch.await(timeoutMillis, TimeUnit.MILLISECONDS);
 			}
 			catch (InterruptedException ex) {
 				Thread.currentThread().interrupt();
--- a/gateway/src/test/java/org/snowwind/gateway/request/StaleTableTests.java
+++ b/gateway/src/test/java/org/snowwind/gateway/request/StaleTableTests.java
@@ -8,13 +8,13 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Tests what callers are told by a route table that may not be the newest.
+ * Tests the rejections of {@link GatewayHandler} if its route table may be outdated.
  */
 class StaleTableTests {
 
-	private static final String NOWHERE = "/nowhere/a";
+	private static final String UNKNOWN_PATH = "/nowhere/a";
 
-	private final GatewayFixture gateway = new GatewayFixture().routed();
+	private final GatewayFixture gateway = new GatewayFixture().withRoutes();
 
 	@AfterEach
 	void stop() {
@@ -22,20 +22,20 @@
 	}
 
 	@Test
-	void aConfirmedTableRefusesForGood() throws IOException {
-		assertThat(this.gateway.call(NOWHERE)).startsWith("HTTP/1.1 404");
+	void confirmedTableRejectsPermanently() throws IOException {
+		assertThat(this.gateway.call(UNKNOWN_PATH)).startsWith("HTTP/1.1 404");
 	}
 
 	@Test
-	void anUnconfirmedTableDoesNotRefuseForGood() throws IOException {
-		this.gateway.passMillis(GatewayFixture.BOUND_MILLIS + 1);
-		assertThat(this.gateway.call(NOWHERE)).startsWith("HTTP/1.1 503");
+	void unconfirmedTableDoesNotRejectPermanently() throws IOException {
+		this.gateway.advanceClock(GatewayFixture.MAX_UNCONFIRMED_MILLIS + 1);
+		assertThat(this.gateway.call(UNKNOWN_PATH)).startsWith("HTTP/1.1 503");
 	}
 
 	@Test
-	void aTableOlderThanAPeersDoesNotRefuseForGood() throws IOException {
-		this.gateway.told(2);
-		assertThat(this.gateway.call(NOWHERE)).startsWith("HTTP/1.1 503");
+	void tableOlderThanAPeersDoesNotRejectPermanently() throws IOException {
+		this.gateway.announceTableVersion(2);
+		assertThat(this.gateway.call(UNKNOWN_PATH)).startsWith("HTTP/1.1 503");
 	}
 
 }
--- a/gateway/src/test/java/org/snowwind/gateway/request/StreamPositionTests.java
+++ b/gateway/src/test/java/org/snowwind/gateway/request/StreamPositionTests.java
@@ -16,7 +16,7 @@
 	}
 
 	@Test
-	void aCallerThatWasSentNothingIsWhereItSaysItIs() {
+	void initialPositionIsTheCallersLastId() {
 		StreamPosition position = new StreamPosition("7");
 		assertThat(position.lastId()).isEqualTo("7");
 		assertThat(position.events()).isZero();
@@ -24,52 +24,52 @@
 	}
 
 	@Test
-	void eachDeliveredEventMovesThePosition() {
+	void deliveredEventAdvancesThePosition() {
 		StreamPosition position = new StreamPosition(null);
-		position.delivered(event("1", "first"));
-		position.delivered(event("2", "second"));
+		position.recordDelivered(event("1", "first"));
+		position.recordDelivered(event("2", "second"));
 		assertThat(position.lastId()).isEqualTo("2");
 		assertThat(position.events()).isEqualTo(2);
 		assertThat(position.bytes()).isEqualTo("first".length() + "second".length());
 	}
 
 	@Test
-	void dataWithoutAnIdLeavesThePositionUnknownUntilTheNextId() {
+	void positionIsNotExactAfterDataWithoutIdUntilTheNextId() {
 		StreamPosition position = new StreamPosition("1");
-		assertThat(position.known()).isTrue();
-		position.delivered(event(null, "data"));
-		assertThat(position.known()).isFalse();
+		assertThat(position.isExact()).isTrue();
+		position.recordDelivered(event(null, "data"));
+		assertThat(position.isExact()).isFalse();
 		assertThat(position.lastId()).isEqualTo("1");
-		position.delivered(event("3", "data"));
-		assertThat(position.known()).isTrue();
+		position.recordDelivered(event("3", "data"));
+		assertThat(position.isExact()).isTrue();
 	}
 
 	@Test
-	void aCommentLeavesThePositionKnown() {
+	void positionRemainsExactAfterAComment() {
 		StreamPosition position = new StreamPosition("1");
-		position.delivered(new StreamEvent(null, false, new byte[1]));
-		assertThat(position.known()).isTrue();
+		position.recordDelivered(new StreamEvent(null, false, new byte[1]));
+		assertThat(position.isExact()).isTrue();
 	}
 
 	@Test
-	void anIdThatGoesBackLeavesThePositionUnknownUntilItIsPassed() {
+	void positionIsNotExactAfterADecreasingIdUntilAHigherId() {
 		StreamPosition position = new StreamPosition(null);
-		position.delivered(event("1", "data"));
-		position.delivered(event("2", "data"));
-		position.delivered(event("2", "again"));
-		assertThat(position.known()).isTrue();
-		position.delivered(event("1", "back"));
-		assertThat(position.known()).isFalse();
-		position.delivered(event("3", "data"));
-		assertThat(position.known()).isTrue();
+		position.recordDelivered(event("1", "data"));
+		position.recordDelivered(event("2", "data"));
+		position.recordDelivered(event("2", "again"));
+		assertThat(position.isExact()).isTrue();
+		position.recordDelivered(event("1", "back"));
+		assertThat(position.isExact()).isFalse();
+		position.recordDelivered(event("3", "data"));
+		assertThat(position.isExact()).isTrue();
 		assertThat(position.lastId()).isEqualTo("3");
 	}
 
 	@Test
-	void anIdWithoutOrderLeavesThePositionUnknown() {
+	void positionIsNotExactAfterANonNumericId() {
 		StreamPosition position = new StreamPosition(null);
-		position.delivered(event("a", "data"));
-		assertThat(position.known()).isFalse();
+		position.recordDelivered(event("a", "data"));
+		assertThat(position.isExact()).isFalse();
 	}
 
 }
--- a/gateway/src/test/java/org/snowwind/gateway/request/TestDialect.java
+++ b/gateway/src/test/java/org/snowwind/gateway/request/TestDialect.java
@@ -13,8 +13,8 @@
 
 	@Override
 	public CallerHead readCaller(Map<String, String> headers) {
-		long patience = Long.parseLong(headers.getOrDefault("t-patience", "-1"));
-		return new CallerHead(headers.get("t-id"), patience, headers.get("t-key"), headers.get("t-last"), 0, 0);
+		long timeoutMillis = Long.parseLong(headers.getOrDefault("t-patience", "-1"));
+		return new CallerHead(headers.get("t-id"), timeoutMillis, headers.get("t-key"), headers.get("t-last"), 0, 0);
 	}
 
 	@Override
@@ -36,9 +36,10 @@
 
 	@Override
 	public AnswerHead readAnswer(int status, Map<String, String> headers) {
-		boolean elsewhere = status == 421;
-		return new AnswerHead(elsewhere || headers.containsKey("t-not-run"), elsewhere, headers.containsKey("t-signed"),
-				headers.get("t-id"), headers.containsKey("content-encoding"), readNotice(headers));
+		boolean fromOtherInstance = status == 421;
+		return new AnswerHead(fromOtherInstance || headers.containsKey("t-not-run"), fromOtherInstance,
+				headers.containsKey("t-signed"), headers.get("t-id"), headers.containsKey("content-encoding"),
+				readNotice(headers));
 	}
 
 	private static ServerNotice readNotice(Map<String, String> headers) {
--- a/gateway/src/test/java/org/snowwind/gateway/request/TimingTests.java
+++ b/gateway/src/test/java/org/snowwind/gateway/request/TimingTests.java
@@ -17,7 +17,7 @@
 	private final Timing stream = new Timing(true, 400);
 
 	@Property(tries = 200)
-	void callersAreNeverToldToComeBackTooLate(@ForAll Random random,
+	void retryAfterIsAtMostAThirdOfTheRemainingTime(@ForAll Random random,
 			@ForAll @LongRange(min = 30, max = 20_000) long remainingMillis) {
 		assertThat(this.stream.retryAfterMillis(remainingMillis, false, 0, random)).isPositive()
 			.isLessThan(remainingMillis / 3 + 1);
@@ -26,14 +26,14 @@
 	}
 
 	@Test
-	void whereNoServerTakesAnythingCallersComeBackLater() {
-		long soon = this.stream.retryAfterMillis(8000, false, 0, new Random(1));
-		long later = this.stream.retryAfterMillis(8000, true, 0, new Random(1));
-		assertThat(later).isGreaterThan(soon);
+	void retryAfterIsLongerIfNoServerAcceptsRequests() {
+		long openDelayMillis = this.stream.retryAfterMillis(8000, false, 0, new Random(1));
+		long closedDelayMillis = this.stream.retryAfterMillis(8000, true, 0, new Random(1));
+		assertThat(closedDelayMillis).isGreaterThan(openDelayMillis);
 	}
 
 	@Test
-	void whereServersAreLimitedCallersComeBackWhenTheyCanBeSent() {
+	void retryAfterIsTheQueueingDelayOfRateLimitedServers() {
 		assertThat(this.stream.retryAfterMillis(60_000, false, 9000, new Random(1))).isEqualTo(9000);
 		assertThat(this.stream.retryAfterMillis(6000, false, 9000, new Random(1))).isLessThan(2001);
 	}
