--- a/gateway/src/main/java/org/snowwind/gateway/backend/Admission.java
+++ b/gateway/src/main/java/org/snowwind/gateway/backend/Admission.java
@@ -8,14 +8,14 @@
 
 /**
  * Decides whether a request is sent to a server, waits for one or is rejected. Confined
- * to the loop.
+ * to the event loop.
  *
  * <p>
- * Load answered: moments in which the servers have no room for all that arrives. A
- * request that can still begin on time waits for a place; one that cannot is rejected at
- * once, so that its caller can come back while there is time. Nothing waits for servers
- * that are known to take nothing, nor more requests than servers that take a limited rate
- * will be sent in time.
+ * Handles moments in which the servers cannot take all requests that arrive. A request
+ * whose answer can still begin on time waits for a free place. Any other is rejected
+ * immediately, so that its caller can retry while there is time. No request waits for
+ * servers that are known to reject all requests, and no more requests wait for servers
+ * with a limited rate than can be sent in time.
  */
 public final class Admission {
 
@@ -26,9 +26,9 @@
 	private final Map<String, StartTime> startTimes = new HashMap<>();
 
 	/**
-	 * Creates the decision.
+	 * Creates an admission control for a set of servers.
 	 * @param backends the servers
-	 * @param clock tells the time
+	 * @param clock the clock
 	 */
 	public Admission(BackendTable backends, MonotonicClock clock) {
 		this.backends = backends;
@@ -36,12 +36,12 @@
 	}
 
 	/**
-	 * Takes note that an answer has begun.
+	 * Records that an answer has begun.
 	 * @param service the service's name
 	 * @param tookMillis how long after the request was sent, in milliseconds
 	 */
 	public void began(String service, long tookMillis) {
-		startTime(service).began(tookMillis);
+		startTime(service).observe(tookMillis);
 	}
 
 	private StartTime startTime(String service) {
@@ -49,78 +49,78 @@
 	}
 
 	/**
-	 * Decides about a request. One that finds no room waits as long as it could still
-	 * begin on time: played by the load model over nine loads a request is worth 0.01
-	 * more than where nobody waits.
+	 * Decides what happens to a request. If no server has room, the request waits as long
+	 * as its answer could still begin on time. In the load model, over nine loads, this
+	 * raises the mean utility of a request by 0.01 compared with not waiting at all.
 	 * @param arrival the request
-	 * @return what becomes of it now
+	 * @return the decision
 	 */
 	public Verdict decide(Arrival arrival) {
 		Optional<Backend> chosen = choose(arrival);
 		if (chosen.isPresent()) {
 			return new Verdict.Send(chosen.get());
 		}
-		long startMillis = startTime(arrival.service()).nearlyAllMillis();
-		long waitsUntilMillis = arrival.arrivedMillis() + arrival.targetMillis() - startMillis;
+		long startMillis = startTime(arrival.service()).upperBoundMillis();
+		long latestSendMillis = arrival.arrivedMillis() + arrival.targetMillis() - startMillis;
 		ServiceOutage outage = this.backends.outage(arrival.service());
 		if (outage.total()) {
-			return decideInOutage(arrival, outage, waitsUntilMillis, startMillis);
+			return decideInOutage(arrival, outage, latestSendMillis, startMillis);
 		}
-		long leftMillis = waitsUntilMillis - this.clock.nowMillis();
+		long leftMillis = latestSendMillis - this.clock.nowMillis();
 		// Queued requests keep their position; new arrivals queue behind them.
-		long queueMillis = arrival.waits() ? 0 : this.backends.limits().queueMillis(arrival.service());
+		long queueMillis = arrival.alreadyWaiting() ? 0 : this.backends.limits().queueMillis(arrival.service());
 		boolean inTime = leftMillis > queueMillis;
 		return inTime ? new Verdict.Wait() : new Verdict.Reject(false, startMillis, queueMillis, 0);
 	}
 
-	private Verdict decideInOutage(Arrival arrival, ServiceOutage outage, long waitsUntilMillis, long startMillis) {
-		int ahead = arrival.waits() ? 0 : this.backends.limits().waiting(arrival.service());
-		if (ahead < outage.returningBy(waitsUntilMillis)) {
+	private Verdict decideInOutage(Arrival arrival, ServiceOutage outage, long latestSendMillis, long startMillis) {
+		int queuedAhead = arrival.alreadyWaiting() ? 0 : this.backends.limits().waiting(arrival.service());
+		if (queuedAhead < outage.returningBy(latestSendMillis)) {
 			return new Verdict.Wait();
 		}
 		return new Verdict.Reject(true, startMillis, 0, outage.millisToReturn(this.clock.nowMillis()));
 	}
 
 	private Optional<Backend> choose(Arrival arrival) {
-		Wanted wanted = arrival.wanted();
-		Optional<Backend> untried = this.backends.choose(wanted);
-		boolean allTried = !this.backends.anyLeft(arrival.service(), arrival.tried());
+		Wanted requirements = arrival.requirements();
+		Optional<Backend> untried = this.backends.choose(requirements);
+		boolean allTried = !this.backends.anyUntriedAvailable(arrival.service(), arrival.tried());
 		if (untried.isPresent() || !allTried) {
 			return untried;
 		}
-		return this.backends.choose(wanted.anyServer());
+		return this.backends.choose(requirements.withoutExclusions());
 	}
 
 	/**
-	 * What becomes of a request.
+	 * The decision about a request.
 	 */
 	public sealed interface Verdict {
 
 		/**
-		 * It is sent.
+		 * The request is sent.
 		 *
-		 * @param backend where to
+		 * @param backend the server that it is sent to
 		 */
 		record Send(Backend backend) implements Verdict {
 
 		}
 
 		/**
-		 * It waits, since a place may come in time.
+		 * The request waits, since a place may become free in time.
 		 */
 		record Wait() implements Verdict {
 
 		}
 
 		/**
-		 * It is rejected.
+		 * The request is rejected.
 		 *
-		 * @param closed whether no server takes anything now, which lasts for seconds
-		 * @param startMillis within which time nearly all answers of the service have
-		 * begun lately, in milliseconds
-		 * @param queueMillis after which time a limited server could be sent it, in
-		 * milliseconds; 0 if no limit is the reason
-		 * @param returnMillis in how long the first server that backs off may be sent
+		 * @param closed whether all servers reject requests now, which lasts for seconds
+		 * @param startMillis the time within which nearly all recent answers of the
+		 * service have begun, in milliseconds
+		 * @param queueMillis the queueing delay until the request could be sent to a
+		 * limited server, in milliseconds; 0 if no limit is the reason
+		 * @param returnMillis the time until the first server that backs off may be sent
 		 * requests again, in milliseconds; 0 if none backs off
 		 */
 		record Reject(boolean closed, long startMillis, long queueMillis, long returnMillis) implements Verdict {
--- a/gateway/src/main/java/org/snowwind/gateway/backend/Arrival.java
+++ b/gateway/src/main/java/org/snowwind/gateway/backend/Arrival.java
@@ -5,31 +5,32 @@
 import org.snowwind.gateway.table.EngineProfile;
 
 /**
- * A request that wants a server.
+ * A request that needs a server.
  *
  * @param service the service's name
- * @param tried ids of servers that have refused or lost it
- * @param mayWaitThere how many requests may wait at a server beyond those that run
- * @param engine how fast the engines of the service are; {@code null} for a plain service
- * @param targetMillis within which its answer begins on time, in milliseconds
- * @param pauseTargetMillis the longest pause between events that is on time, in
- * milliseconds; 0 if it has none
- * @param arrivedMillis when it came or, for a stream that goes on elsewhere, when it
- * broke, in milliseconds
- * @param waits whether it waits already
+ * @param tried ids of servers that have rejected or lost the request
+ * @param maxQueuedAtServer how many requests may queue at a server beyond those that run
+ * @param engine the performance of the service's engines; {@code null} for a plain
+ * service
+ * @param targetMillis the target time until the answer begins, in milliseconds
+ * @param pauseTargetMillis the maximum pause between events that is on time, in
+ * milliseconds; 0 if there is no target
+ * @param arrivedMillis when the request arrived or, for a stream that is resumed on
+ * another server, when the stream broke, in milliseconds
+ * @param alreadyWaiting whether the request is already waiting
  */
-public record Arrival(String service, Set<String> tried, int mayWaitThere, EngineProfile engine, long targetMillis,
-		long pauseTargetMillis, long arrivedMillis, boolean waits) {
+public record Arrival(String service, Set<String> tried, int maxQueuedAtServer, EngineProfile engine, long targetMillis,
+		long pauseTargetMillis, long arrivedMillis, boolean alreadyWaiting) {
 
 	/**
-	 * Copies the ids.
+	 * Creates an arrival with a copy of the ids.
 	 */
 	public Arrival {
 		tried = Set.copyOf(tried);
 	}
 
-	Wanted wanted() {
-		return new Wanted(this.service, this.tried, this.mayWaitThere, this.engine, this.pauseTargetMillis);
+	Wanted requirements() {
+		return new Wanted(this.service, this.tried, this.maxQueuedAtServer, this.engine, this.pauseTargetMillis);
 	}
 
 }
--- a/gateway/src/main/java/org/snowwind/gateway/backend/Backend.java
+++ b/gateway/src/main/java/org/snowwind/gateway/backend/Backend.java
@@ -9,24 +9,26 @@
 import org.snowwind.model.event.EventLog;
 
 /**
- * One run of a backend server as this process sees it. Confined to the loop.
+ * One incarnation of a backend server as known to this process. Confined to the event
+ * loop.
  */
 public final class Backend {
 
-	/** The part of a new answer in the mean of answer times. */
-	private static final double ANSWER_SHARE = 0.2;
+	/** The weight of a new answer in the moving average of answer times. */
+	private static final double ANSWER_WEIGHT = 0.2;
 
-	/** The part of a new outcome in the failure rate. */
-	private static final double FAILURE_SHARE = 0.2;
+	/** The weight of a new outcome in the failure rate, a moving average. */
+	private static final double FAILURE_WEIGHT = 0.2;
 
-	/** Within this time a failure rate halves if nothing is sent, in milliseconds. */
+	/** The time in which the failure rate halves without requests, in milliseconds. */
 	private static final double FAILURE_HALF_LIFE_MILLIS = 3000;
 
 	private static final double PERCENT = 100;
 
 	/**
 	 * Two failures in a row eject a server for half a second, since a server that crashed
-	 * is gone for seconds; it comes back within a second.
+	 * is down for seconds. After an ejection its share of the requests rises back to the
+	 * full share within a second.
 	 */
 	private static final Breaker.BreakerSettings EJECTION = new Breaker.BreakerSettings(2, 500, 1000, 0.3);
 
@@ -36,7 +38,7 @@
 
 	private BackendEntry entry;
 
-	private boolean gone;
+	private boolean removed;
 
 	private boolean ejected;
 
@@ -60,7 +62,7 @@
 	}
 
 	/**
-	 * Returns what this incarnation has announced.
+	 * Returns the announcements of this incarnation.
 	 * @return its notices
 	 */
 	public BackendNotices notices() {
@@ -68,8 +70,8 @@
 	}
 
 	/**
-	 * Returns the rate that the server takes from all gateways together.
-	 * @return what is known of it
+	 * Returns the limit that the server sets on its total request rate.
+	 * @return the limit as known to this process
 	 */
 	public BackendLimit limit() {
 		return this.notices.limit();
@@ -77,7 +79,7 @@
 
 	/**
 	 * Records the head of a response of this incarnation.
-	 * @param notice what it says
+	 * @param notice what the head announces
 	 * @param source the response
 	 * @param pace how this process returns after a backoff
 	 * @param nowMillis the time, in milliseconds
@@ -87,7 +89,7 @@
 	}
 
 	/**
-	 * Returns the id of this run.
+	 * Returns the id of the server.
 	 * @return the id
 	 */
 	public String id() {
@@ -95,7 +97,7 @@
 	}
 
 	/**
-	 * Returns what the server has registered.
+	 * Returns the server's entry in the registry.
 	 * @return the entry
 	 */
 	public BackendEntry entry() {
@@ -107,53 +109,53 @@
 	}
 
 	void remove() {
-		this.gone = true;
+		this.removed = true;
 	}
 
 	/**
-	 * Records that another server answers at its address.
+	 * Records that another server answers at the address of this one.
 	 */
 	public void replaced() {
-		this.notices.onLeaving("refusal of another server at its address");
+		this.notices.onLeaving("rejection by another server at its address");
 	}
 
 	/**
-	 * Tells whether the server may be sent new work.
-	 * @return false if it is leaving or gone
+	 * Returns whether the server accepts new work.
+	 * @return false if it is leaving or its entry was removed
 	 */
 	public boolean takesNewWork() {
-		return !this.gone && !this.notices.isLeaving() && !this.entry.draining();
+		return !this.removed && !this.notices.isLeaving() && !this.entry.draining();
 	}
 
 	/**
-	 * The gate that each request passes right before it is sent: first ones, retries,
-	 * streams that are resumed, and those that have waited.
+	 * Returns whether a request may be sent to the server. This is checked right before
+	 * each send: of first attempts, retries, resumed streams and requests that waited.
 	 * @param nowMillis the time, in milliseconds
-	 * @return whether nothing that the server has announced forbids it
+	 * @return false if the server is removed or an announcement of it forbids the request
 	 */
 	public boolean admits(long nowMillis) {
 		return takesNewWork() && this.notices.admits(nowMillis);
 	}
 
 	/**
-	 * Tells whether its recent answers allow it new work.
+	 * Returns whether the outcomes of recent requests allow new work.
 	 * @param nowMillis the time, in milliseconds
-	 * @return false while it is ejected
+	 * @return false while the server is ejected
 	 */
-	public boolean trusted(long nowMillis) {
+	public boolean isTrusted(long nowMillis) {
 		return this.breaker.allows(nowMillis);
 	}
 
 	/**
-	 * Counts the requests that it has, as far as is known.
-	 * @return those of this process and those that peers have told of
+	 * Returns the known number of requests at the server.
+	 * @return the requests of this process and those that peers have reported
 	 */
 	public int load() {
 		return this.inFlight + this.peersInFlight;
 	}
 
 	/**
-	 * Counts the requests that this process has there.
+	 * Returns the number of requests of this process at the server.
 	 * @return a number of requests
 	 */
 	public int inFlight() {
@@ -165,8 +167,9 @@
 	}
 
 	/**
-	 * Returns the group of which it is a rank.
-	 * @return the group, {@code null} if it is in none or that is not known
+	 * Returns the group of which the server is a rank.
+	 * @return the group, {@code null} if the server is in no group or its group is
+	 * unknown
 	 */
 	public GroupLoad group() {
 		return this.group;
@@ -177,14 +180,14 @@
 			return;
 		}
 		if (this.group != null) {
-			this.group.streamsLeft(this.streams);
+			this.group.removeStreams(this.streams);
 		}
 		this.group = next;
-		next.streamsJoined(this.streams, nowMillis);
+		next.addStreams(this.streams, nowMillis);
 	}
 
 	/**
-	 * Takes note of a request that is sent there.
+	 * Records a request that is sent to the server.
 	 * @param nowMillis the time, in milliseconds
 	 */
 	public void sent(long nowMillis) {
@@ -196,15 +199,15 @@
 		}
 	}
 
-	private void ended() {
+	private void onRequestEnd() {
 		this.inFlight--;
 		if (this.group != null) {
-			this.group.ended();
+			this.group.onRequestEnd();
 		}
 	}
 
 	/**
-	 * Takes note that a stream has begun.
+	 * Records that a stream has begun.
 	 * @param nowMillis the time, in milliseconds
 	 */
 	public void streamBegan(long nowMillis) {
@@ -215,52 +218,52 @@
 	}
 
 	/**
-	 * Takes note that a stream that had begun has ended.
+	 * Records that a stream that had begun has ended.
 	 */
 	public void streamEnded() {
 		this.streams--;
 		if (this.group != null) {
-			this.group.streamsLeft(1);
+			this.group.removeStreams(1);
 		}
 	}
 
 	/**
-	 * Takes note of a pause between two events of a stream.
+	 * Records a pause between two events of a stream.
 	 * @param pauseMillis the pause, in milliseconds
-	 * @param pauseTargetMillis the longest pause on time, in milliseconds
-	 * @param profile how fast the engines are
+	 * @param pauseTargetMillis the maximum pause that is on time, in milliseconds
+	 * @param profile the performance of the engines
 	 * @param nowMillis the time, in milliseconds
 	 */
 	public void paused(long pauseMillis, long pauseTargetMillis, EngineProfile profile, long nowMillis) {
 		if (this.group != null && profile != null) {
-			this.group.paused(pauseMillis, pauseTargetMillis, profile, nowMillis);
+			this.group.onPause(pauseMillis, pauseTargetMillis, profile, nowMillis);
 		}
 	}
 
 	/**
-	 * Takes note that a request was answered.
+	 * Records that a request was answered.
 	 * @param tookMillis how long the answer took, in milliseconds
 	 * @param nowMillis the time, in milliseconds
 	 */
 	public void answered(long tookMillis, long nowMillis) {
-		ended();
+		onRequestEnd();
 		this.breaker.succeeded(nowMillis);
 		if (this.ejected) {
 			this.ejected = false;
 			EventLog.log(Event.SERVER_RETURNED, "server", id());
 		}
-		this.answerMillis += ((this.answerMillis == 0) ? 1 : ANSWER_SHARE) * (tookMillis - this.answerMillis);
-		noteOutcome(0, nowMillis);
+		this.answerMillis += ((this.answerMillis == 0) ? 1 : ANSWER_WEIGHT) * (tookMillis - this.answerMillis);
+		recordOutcome(0, nowMillis);
 	}
 
 	/**
-	 * Takes note that a request failed in a way that speaks against the server.
+	 * Records a failed request that counts as a failure of the server.
 	 * @param nowMillis the time, in milliseconds
 	 */
 	public void failed(long nowMillis) {
-		ended();
+		onRequestEnd();
 		this.breaker.failed(nowMillis);
-		noteOutcome(1, nowMillis);
+		recordOutcome(1, nowMillis);
 		if (!this.ejected && !this.breaker.allows(nowMillis)) {
 			this.ejected = true;
 			EventLog.log(Event.SERVER_EJECTED, "server", id(), "failureRate", Math.round(PERCENT * this.failureRate));
@@ -268,40 +271,42 @@
 	}
 
 	/**
-	 * Takes note that the server could not be reached. Its group can make no pass then.
+	 * Records that the server could not be reached. Its group can make no pass without
+	 * it.
 	 * @param nowMillis the time, in milliseconds
 	 */
 	public void unreachable(long nowMillis) {
 		failed(nowMillis);
 		if (this.group != null) {
-			this.group.refused(nowMillis);
+			this.group.onRejection(nowMillis);
 		}
 	}
 
 	/**
-	 * Takes note that a request ended in a way that says nothing of the server.
+	 * Records that a request ended without evidence for or against the server.
 	 */
 	public void withdrawn() {
-		ended();
+		onRequestEnd();
 		this.breaker.withdrawn();
 	}
 
 	/**
-	 * Records that it rejected a request, which it surely has not run. A server that has
-	 * announced a limit or a backoff speaks for itself and not for its group.
+	 * Records that the server rejected a request and certainly did not run it. If the
+	 * server has announced a limit or a backoff, the rejection says nothing about its
+	 * group.
 	 * @param nowMillis the time, in milliseconds
 	 */
 	public void refused(long nowMillis) {
 		withdrawn();
-		boolean speaksForItself = limit().known().stands() || this.notices.backoff().isActive(nowMillis);
-		if (this.group != null && !speaksForItself) {
-			this.group.refused(nowMillis);
+		boolean hasAnnouncedReason = limit().known().stands() || this.notices.backoff().isActive(nowMillis);
+		if (this.group != null && !hasAnnouncedReason) {
+			this.group.onRejection(nowMillis);
 		}
 	}
 
-	private void noteOutcome(double failure, long nowMillis) {
+	private void recordOutcome(double failure, long nowMillis) {
 		this.failureRate = failureRate(nowMillis);
-		this.failureRate += FAILURE_SHARE * (failure - this.failureRate);
+		this.failureRate += FAILURE_WEIGHT * (failure - this.failureRate);
 		this.failureMillis = nowMillis;
 	}
 
@@ -310,9 +315,9 @@
 	}
 
 	/**
-	 * Returns what is known of the server when one is chosen.
+	 * Returns the properties of the server that the choice of a server depends on.
 	 * @param nowMillis the time, in milliseconds
-	 * @return a view as of now
+	 * @return a snapshot of the properties
 	 */
 	public BackendView view(long nowMillis) {
 		return new BackendView(id(), load(), this.entry.slots(), this.answerMillis, failureRate(nowMillis),
--- a/gateway/src/main/java/org/snowwind/gateway/backend/BackendLimit.java
+++ b/gateway/src/main/java/org/snowwind/gateway/backend/BackendLimit.java
@@ -10,15 +10,18 @@
 import org.snowwind.model.event.EventLog;
 
 /**
- * The rate that one life of a server takes from all gateways together, as far as this
- * process knows. Confined to the loop.
+ * The limit that one incarnation of a server sets on its total request rate from all
+ * gateways, as known to this process. Confined to the event loop.
  */
 public final class BackendLimit {
 
-	/** A server that names another rate each time gets one line in this time. */
-	private static final long LOG_MILLIS = 1000;
+	/**
+	 * The minimum time between two log lines on one server, which may announce a new rate
+	 * with each response, in milliseconds.
+	 */
+	private static final long LOG_PERIOD_MILLIS = 1000;
 
-	private static final String OWN_ANSWER = "answer";
+	private static final String OWN_RESPONSE = "answer";
 
 	private static final String PEER = "peer";
 
@@ -32,47 +35,47 @@
 
 	private long nextGrantLogMillis = Long.MIN_VALUE;
 
-	private boolean holds;
+	private boolean holdsShare;
 
 	private boolean unreadableLogged;
 
 	/**
-	 * Creates what is known of a server that has named nothing.
-	 * @param run which life of the server it is
+	 * Creates the state of a server that has announced no limit.
+	 * @param run the incarnation of the server
 	 */
 	BackendLimit(BackendRun run) {
 		this.run = run;
 	}
 
 	/**
-	 * Takes note of what the head of an answer says. An answer that does not bear the
-	 * server's signature may name a limit, but does not end one.
-	 * @param limit what it says
-	 * @param signed whether the answer bears the server's signature
-	 * @param sentMillis when its request was sent, in milliseconds
+	 * Records the head of a response. A response without the server's signature can
+	 * announce a limit but cannot end one.
+	 * @param limit the limit that the head announces
+	 * @param signed whether the response carries the server's signature
+	 * @param sentMillis when the request was sent, in milliseconds
 	 * @param nowMillis the time, in milliseconds
 	 */
-	public void says(NamedLimit limit, boolean signed, long sentMillis, long nowMillis) {
+	public void onResponseHead(NamedLimit limit, boolean signed, long sentMillis, long nowMillis) {
 		double before = this.known.perSecond();
 		if (limit instanceof NamedLimit.Rate rate) {
-			log(this.known.named(rate.perSecond(), sentMillis, nowMillis), before, OWN_ANSWER, nowMillis);
+			logChange(this.known.named(rate.perSecond(), sentMillis, nowMillis), before, OWN_RESPONSE, nowMillis);
 		}
 		else if (limit instanceof NamedLimit.Unreadable unreadable) {
 			logUnreadable(unreadable);
 		}
 		else if (signed) {
-			log(this.known.unnamed(sentMillis, nowMillis), before, OWN_ANSWER, nowMillis);
+			logChange(this.known.unnamed(sentMillis, nowMillis), before, OWN_RESPONSE, nowMillis);
 		}
 	}
 
 	/**
-	 * Takes note of what a peer has heard.
-	 * @param word the word, by the own clock
+	 * Records an announcement of the server that a peer has received.
+	 * @param announcement the announcement, with times by the local clock
 	 * @param nowMillis the time, in milliseconds
 	 */
-	public void heard(LimitWord word, long nowMillis) {
+	public void onPeerAnnouncement(LimitWord announcement, long nowMillis) {
 		double before = this.known.perSecond();
-		log(this.known.heard(word, nowMillis), before, PEER, nowMillis);
+		logChange(this.known.heard(announcement, nowMillis), before, PEER, nowMillis);
 	}
 
 	private void logUnreadable(NamedLimit.Unreadable unreadable) {
@@ -82,11 +85,11 @@
 		}
 	}
 
-	private void log(boolean changed, double before, String source, long nowMillis) {
+	private void logChange(boolean changed, double before, String source, long nowMillis) {
 		if (!changed || nowMillis < this.nextLogMillis) {
 			return;
 		}
-		this.nextLogMillis = nowMillis + LOG_MILLIS;
+		this.nextLogMillis = nowMillis + LOG_PERIOD_MILLIS;
 		Event event = this.known.stands() ? Event.SERVER_LIMIT_NAMED : Event.SERVER_LIMIT_ENDED;
 		EventLog.log(event, "server", this.run.id(), "bornMillis", this.run.bornMillis(), "perSecond",
 				this.known.perSecond(), "before", before, "source", source, "ageMillis",
@@ -94,17 +97,18 @@
 	}
 
 	/**
-	 * Tells whether a request may be sent there. Only who was granted a part of the rate
-	 * may: no process alone knows what all send together.
+	 * Returns whether a request may be sent to the server. While a limit is active, only
+	 * a process with a granted share of the rate may send, since no process alone knows
+	 * the total rate.
 	 * @param nowMillis the time, in milliseconds
-	 * @return true if no limit stands or a request is left of the own part
+	 * @return true if no limit is active or the share of this process allows a request
 	 */
 	boolean allows(long nowMillis) {
 		return !this.known.stands() || this.granted.allows(this.known.perSecond(), nowMillis);
 	}
 
 	/**
-	 * Takes note of a request that is sent there.
+	 * Records a request that is sent to the server.
 	 * @param nowMillis the time, in milliseconds
 	 */
 	void sent(long nowMillis) {
@@ -114,17 +118,17 @@
 	}
 
 	/**
-	 * Takes over a part of the rate.
-	 * @param grant the part
-	 * @param askedMillis when it was asked for, in milliseconds
+	 * Applies a granted share of the rate.
+	 * @param grant the share
+	 * @param askedMillis when the share was requested, in milliseconds
 	 * @param nowMillis the time, in milliseconds
 	 */
-	void granted(RateGrant grant, long askedMillis, long nowMillis) {
+	void applyGrant(RateGrant grant, long askedMillis, long nowMillis) {
 		this.granted.use(grant, askedMillis, this.known.perSecond(), nowMillis);
 		boolean holdsNow = grant.perSecond() > 0;
-		if (holdsNow != this.holds && nowMillis >= this.nextGrantLogMillis) {
-			this.holds = holdsNow;
-			this.nextGrantLogMillis = nowMillis + LOG_MILLIS;
+		if (holdsNow != this.holdsShare && nowMillis >= this.nextGrantLogMillis) {
+			this.holdsShare = holdsNow;
+			this.nextGrantLogMillis = nowMillis + LOG_PERIOD_MILLIS;
 			EventLog.log(Event.LIMIT_PART_CHANGED, "server", this.run.id(), "limitPerSecond", this.known.perSecond(),
 					"grantedPerSecond", grant.perSecond(), "validMillis", grant.validMillis(), "askedMillisAgo",
 					nowMillis - askedMillis);
@@ -132,7 +136,7 @@
 	}
 
 	/**
-	 * Returns the own part of the rate.
+	 * Returns the share of the rate that this process holds.
 	 * @param nowMillis the time, in milliseconds
 	 * @return requests per second, 0 for none
 	 */
@@ -141,16 +145,16 @@
 	}
 
 	/**
-	 * Returns how many requests this process may send there in a second, as it looks.
+	 * Returns the rate at which this process can expect to send requests to the server.
 	 * @param nowMillis the time, in milliseconds
-	 * @return requests per second; {@link Double#POSITIVE_INFINITY} if no limit stands
+	 * @return requests per second; {@link Double#POSITIVE_INFINITY} if no limit is active
 	 */
 	double expectedPerSecond(long nowMillis) {
 		return this.known.stands() ? this.granted.expectedPerSecond(nowMillis) : Double.POSITIVE_INFINITY;
 	}
 
 	/**
-	 * Returns what is known.
+	 * Returns the limit as known to this process.
 	 * @return the limit
 	 */
 	public ServerLimit known() {
--- a/gateway/src/main/java/org/snowwind/gateway/backend/BackendNotices.java
+++ b/gateway/src/main/java/org/snowwind/gateway/backend/BackendNotices.java
@@ -8,13 +8,16 @@
 import org.snowwind.model.event.EventLog;
 
 /**
- * What one incarnation of a server has announced about its near future: rates, backoffs
- * and its departure. Confined to the loop.
+ * The announcements of one incarnation of a server: its rate limit, its backoffs and its
+ * departure. Confined to the event loop.
  */
 public final class BackendNotices {
 
-	/** A server whose backoff grows with each response gets one line in this time. */
-	private static final long LOG_MILLIS = 1000;
+	/**
+	 * The minimum time between two log lines on one server, whose backoff may grow with
+	 * each response, in milliseconds.
+	 */
+	private static final long LOG_PERIOD_MILLIS = 1000;
 
 	private final BackendRun run;
 
@@ -31,7 +34,7 @@
 	private long nextLogMillis = Long.MIN_VALUE;
 
 	/**
-	 * Creates the notices of a server that has announced nothing.
+	 * Creates the state of a server that has announced nothing.
 	 * @param run the server's incarnation
 	 */
 	BackendNotices(BackendRun run) {
@@ -41,13 +44,13 @@
 
 	/**
 	 * Records the head of a response of this incarnation.
-	 * @param notice what it says
+	 * @param notice what the head announces
 	 * @param source the response
 	 * @param pace how this process returns after a backoff
 	 * @param nowMillis the time, in milliseconds
 	 */
 	void onResponseHead(ServerNotice notice, Source source, ReturnPace pace, long nowMillis) {
-		this.limit.says(notice.limit(), source.signed(), source.sentMillis(), nowMillis);
+		this.limit.onResponseHead(notice.limit(), source.signed(), source.sentMillis(), nowMillis);
 		if (notice.retryAfterMillis() > 0) {
 			onRetryAfter(notice.retryAfterMillis(), source, pace, nowMillis);
 		}
@@ -64,7 +67,7 @@
 		boolean wasActive = this.backoff.isActive(nowMillis);
 		boolean later = this.backoff.retryAfter(retryAfterMillis, pace, nowMillis);
 		if (later && (!wasActive || nowMillis >= this.nextLogMillis)) {
-			this.nextLogMillis = nowMillis + LOG_MILLIS;
+			this.nextLogMillis = nowMillis + LOG_PERIOD_MILLIS;
 			this.backoffLogged = true;
 			EventLog.log(Event.SERVER_BACKOFF_STARTED, "server", this.run.id(), "bornMillis", this.run.bornMillis(),
 					"retryAfterMillis", retryAfterMillis, "untilMillis", this.backoff.untilMillis(), "lengthened",
@@ -74,8 +77,8 @@
 	}
 
 	/**
-	 * Records that the server takes no new work, whatever its entry says.
-	 * @param source where that is known from
+	 * Records that the server accepts no new work, whatever its registry entry says.
+	 * @param source the source of this information
 	 */
 	void onLeaving(String source) {
 		if (!this.leaving) {
@@ -101,24 +104,25 @@
 	}
 
 	/**
-	 * Tells whether a request may be sent as far as rates and backoffs go.
+	 * Returns whether the rate limit and the backoff of the server allow a request.
 	 * @param nowMillis the time, in milliseconds
-	 * @return false while the server backs off or nothing is left of its rate
+	 * @return false while the server backs off, or while its limit is active and the
+	 * share of this process allows no request
 	 */
 	boolean admits(long nowMillis) {
 		return this.backoff.admits(nowMillis) && this.limit.allows(nowMillis);
 	}
 
 	/**
-	 * Returns the rate that the server takes from all gateways together.
-	 * @return what is known of it
+	 * Returns the limit that the server sets on its total request rate.
+	 * @return the limit as known to this process
 	 */
 	public BackendLimit limit() {
 		return this.limit;
 	}
 
 	/**
-	 * Returns the backoff that the server asked this gateway for.
+	 * Returns the backoff that the server requested from this gateway.
 	 * @return the backoff
 	 */
 	public ServerBackoff backoff() {
@@ -126,7 +130,7 @@
 	}
 
 	/**
-	 * Tells whether the server has announced that it is leaving.
+	 * Returns whether the server has announced that it is leaving.
 	 * @return true from its announcement on
 	 */
 	public boolean isLeaving() {
@@ -134,10 +138,10 @@
 	}
 
 	/**
-	 * The response that bears a notice.
+	 * The response that contains a notice.
 	 *
-	 * @param request the id of the request, or what kind of call it was
-	 * @param signed whether the response bears the server's signature
+	 * @param request the id of the request, or the kind of the call
+	 * @param signed whether the response carries the server's signature
 	 * @param sentMillis when the request was sent, in milliseconds
 	 */
 	public record Source(String request, boolean signed, long sentMillis) {
--- a/gateway/src/main/java/org/snowwind/gateway/backend/BackendTable.java
+++ b/gateway/src/main/java/org/snowwind/gateway/backend/BackendTable.java
@@ -21,13 +21,13 @@
 import org.snowwind.model.event.EventLog;
 
 /**
- * The backend servers and the choice among them. Confined to the loop.
+ * The registered backend servers and the choice among them. Confined to the event loop.
  */
 public final class BackendTable {
 
-	private static final ServerPick LEAST_FULL = ServerPick.leastFull();
+	private static final ServerPick LEAST_UTILIZED = ServerPick.leastUtilized();
 
-	private static final ServerPick DRAWN_BY_ROOM = ServerPick.drawnByRoom();
+	private static final ServerPick WEIGHTED_RANDOM = ServerPick.weightedRandom();
 
 	private final MonotonicClock clock;
 
@@ -49,14 +49,15 @@
 
 	private long revision;
 
-	private double unheardFactor = 1;
+	private double unreportedFactor = 1;
 
 	/**
 	 * Creates a table without servers.
-	 * @param clock tells the time
+	 * @param clock the clock
 	 * @param random breaks ties
-	 * @param dataCentre the own data centre
-	 * @param gateways counts the gateways that may send requests to the servers
+	 * @param dataCentre the data centre of this gateway
+	 * @param gateways supplies the number of gateways that may send requests to the
+	 * servers
 	 */
 	public BackendTable(MonotonicClock clock, RandomGenerator random, String dataCentre, IntSupplier gateways) {
 		this(clock, random, dataCentre, gateways, GroupLimit.meanPass());
@@ -73,7 +74,7 @@
 	}
 
 	/**
-	 * Returns the rates that servers take from all processes together.
+	 * Returns the limits that servers set on their total request rate.
 	 * @return the limits of all servers
 	 */
 	public SharedLimits limits() {
@@ -81,7 +82,7 @@
 	}
 
 	/**
-	 * Takes over a registry.
+	 * Applies a new version of the registry.
 	 * @param registry the registry
 	 */
 	public void use(Registry registry) {
@@ -89,8 +90,8 @@
 		List<String> removed = new ArrayList<>(this.byId.keySet());
 		removed.removeAll(registry.servers().keySet());
 		removed.forEach(this::remove);
-		registry.list().forEach(this::put);
-		countGroups();
+		registry.list().forEach(this::addOrUpdate);
+		updateGroupCounts();
 	}
 
 	private void remove(String id) {
@@ -100,25 +101,25 @@
 		EventLog.log(Event.SERVER_REMOVED, "server", id, "registry", this.revision);
 	}
 
-	private void put(BackendEntry entry) {
-		Backend standing = this.byId.get(entry.id());
-		if (standing != null && !standing.entry().run().mayBe(entry.run())) {
+	private void addOrUpdate(BackendEntry entry) {
+		Backend existing = this.byId.get(entry.id());
+		if (existing != null && !existing.entry().run().mayBe(entry.run())) {
 			EventLog.log(Event.SERVER_RESTARTED, "server", entry.id(), "bornMillis", entry.bornMillis(), "before",
-					standing.entry().bornMillis(), "inFlight", standing.inFlight(), "registry", this.revision);
+					existing.entry().bornMillis(), "inFlight", existing.inFlight(), "registry", this.revision);
 			this.byId.remove(entry.id()).remove();
-			standing = null;
+			existing = null;
 		}
-		if (standing == null) {
+		if (existing == null) {
 			this.byId.put(entry.id(), new Backend(entry, this.removedNotices.take(entry.run())));
 			EventLog.log(Event.SERVER_ADDED, "server", entry.id(), "service", entry.service(), "address",
 					entry.address(), "dataCentre", entry.dataCentre(), "draining", entry.draining(), "registry",
 					this.revision);
 			return;
 		}
-		if (entry.draining() && !standing.entry().draining()) {
+		if (entry.draining() && !existing.entry().draining()) {
 			EventLog.log(Event.SERVER_DRAINING, "server", entry.id(), "source", "registry", "registry", this.revision);
 		}
-		standing.entry(entry);
+		existing.entry(entry);
 	}
 
 	/**
@@ -132,7 +133,7 @@
 	/**
 	 * Finds a server.
 	 * @param id its id
-	 * @return the server, empty if it is gone
+	 * @return the server, empty if it is not registered
 	 */
 	public Optional<Backend> find(String id) {
 		return Optional.ofNullable(this.byId.get(id));
@@ -141,7 +142,7 @@
 	/**
 	 * Records the head of a response.
 	 * @param backend the server that sent it
-	 * @param notice what it says
+	 * @param notice what the head announces
 	 * @param source the response
 	 */
 	public void onResponseHead(Backend backend, ServerNotice notice, BackendNotices.Source source) {
@@ -157,7 +158,7 @@
 	}
 
 	/**
-	 * Records what the response to a call beside callers' requests announces.
+	 * Records an announcement in the response to a call that is not a caller's request.
 	 * @param run the incarnation that was called
 	 * @param notice what it announces
 	 * @param sentMillis when the call was sent, in milliseconds
@@ -170,7 +171,7 @@
 
 	/**
 	 * Lists the servers that back off.
-	 * @return until when, in milliseconds by the server's id
+	 * @return when each backoff ends, in milliseconds by the server's id
 	 */
 	public Map<String, Long> backoffs() {
 		long nowMillis = this.clock.nowMillis();
@@ -183,16 +184,17 @@
 	/**
 	 * Lists the servers of a service.
 	 * @param service the service's name
-	 * @return its servers, those that are leaving included
+	 * @return its servers, including those that are leaving
 	 */
 	public List<Backend> of(String service) {
 		return this.byId.values().stream().filter((backend) -> backend.entry().service().equals(service)).toList();
 	}
 
 	/**
-	 * Tells whether any server may be sent new work.
-	 * @param services the services that there are; a server of another one serves nobody
-	 * @return true if one may
+	 * Returns whether any server of the configured services accepts new work.
+	 * @param services the configured services; a server of another service gets no
+	 * requests
+	 * @return true if at least one does
 	 */
 	public boolean anyTakesNewWork(Set<String> services) {
 		return this.byId.values()
@@ -201,74 +203,77 @@
 	}
 
 	/**
-	 * Tells whether a service has a server that takes new work, now or later.
+	 * Returns whether a service has a server that accepts new work now or, if it backs
+	 * off, later.
 	 * @param service the service's name
-	 * @return true if it has
+	 * @return true if it has at least one
 	 */
 	public boolean anyTakesNewWork(String service) {
-		return this.byId.values().stream().anyMatch((backend) -> eligible(backend, service, Set.of()));
+		return this.byId.values().stream().anyMatch((backend) -> isEligible(backend, service, Set.of()));
 	}
 
 	/**
-	 * Tells whether a service has another server to try now.
+	 * Returns whether a service has an untried server that accepts requests now.
 	 * @param service the service's name
-	 * @param tried ids of servers that are not wanted
+	 * @param tried ids of the servers that were tried
 	 * @return true if it has one that does not back off
 	 */
-	public boolean anyLeft(String service, Set<String> tried) {
+	public boolean anyUntriedAvailable(String service, Set<String> tried) {
 		long nowMillis = this.clock.nowMillis();
 		return this.byId.values()
 			.stream()
-			.anyMatch((backend) -> eligible(backend, service, tried) && backend.notices().backoff().admits(nowMillis));
+			.anyMatch(
+					(backend) -> isEligible(backend, service, tried) && backend.notices().backoff().admits(nowMillis));
 	}
 
 	/**
 	 * Chooses a server that has room.
-	 * @param wanted what is needed
-	 * @return one that has room, empty if none has
+	 * @param requirements the requirements
+	 * @return a server with room, empty if none has room
 	 */
-	public Optional<Backend> choose(Wanted wanted) {
+	public Optional<Backend> choose(Wanted requirements) {
 		long nowMillis = this.clock.nowMillis();
-		Optional<Backend> trusted = choose(wanted, nowMillis, true);
-		return trusted.isPresent() ? trusted : choose(wanted, nowMillis, false);
+		Optional<Backend> trusted = choose(requirements, nowMillis, true);
+		return trusted.isPresent() ? trusted : choose(requirements, nowMillis, false);
 	}
 
-	private Optional<Backend> choose(Wanted wanted, long nowMillis, boolean trustedOnly) {
+	private Optional<Backend> choose(Wanted requirements, long nowMillis, boolean trustedOnly) {
 		List<Candidate> candidates = new ArrayList<>();
 		Map<GroupLoad, Double> groupRooms = new HashMap<>();
 		for (Backend backend : this.byId.values()) {
-			boolean allowed = eligible(backend, wanted.service(), wanted.tried())
-					&& (!trustedOnly || backend.trusted(nowMillis));
+			boolean allowed = isEligible(backend, requirements.service(), requirements.tried())
+					&& (!trustedOnly || backend.isTrusted(nowMillis));
 			if (allowed) {
-				double groupRoom = groupRooms.computeIfAbsent(groupOf(backend, wanted),
-						(group) -> group.roomShare(wanted, nowMillis));
-				addIfRoom(candidates, backend, wanted, groupRoom, nowMillis);
+				double groupRoom = groupRooms.computeIfAbsent(groupOf(backend, requirements),
+						(group) -> group.freeShare(requirements, nowMillis));
+				addIfRoom(candidates, backend, requirements, groupRoom, nowMillis);
 			}
 		}
-		return pickOf(wanted).pick(candidates, this.random);
+		return strategyFor(requirements).pick(candidates, this.random);
 	}
 
-	private static GroupLoad groupOf(Backend backend, Wanted wanted) {
-		return (backend.group() != null && wanted.engine() != null) ? backend.group() : GroupLoad.NONE;
+	private static GroupLoad groupOf(Backend backend, Wanted requirements) {
+		return (backend.group() != null && requirements.engine() != null) ? backend.group() : GroupLoad.NONE;
 	}
 
-	private static ServerPick pickOf(Wanted wanted) {
-		return (wanted.engine() != null) ? DRAWN_BY_ROOM : LEAST_FULL;
+	private static ServerPick strategyFor(Wanted requirements) {
+		return (requirements.engine() != null) ? WEIGHTED_RANDOM : LEAST_UTILIZED;
 	}
 
-	private void addIfRoom(List<Candidate> candidates, Backend backend, Wanted wanted, double groupRoom,
+	private void addIfRoom(List<Candidate> candidates, Backend backend, Wanted requirements, double groupRoom,
 			long nowMillis) {
 		BackendView view = backend.view(nowMillis);
-		if (groupRoom > 0 && backend.admits(nowMillis) && view.room(wanted.mayWait()) > 0) {
-			candidates.add(new Candidate(backend, view.fullness(), groupRoom * view.roomShare(wanted.mayWait()),
+		if (groupRoom > 0 && backend.admits(nowMillis) && view.room(requirements.maxQueuedAtServer()) > 0) {
+			candidates.add(new Candidate(backend, view.utilization(),
+					groupRoom * view.freeShare(requirements.maxQueuedAtServer()),
 					backend.entry().dataCentre().equals(this.dataCentre)));
 		}
 	}
 
 	/**
-	 * Tells whether all servers of a service are known to reject requests now.
+	 * Returns whether all servers of a service are known to reject requests now.
 	 * @param service the service's name
-	 * @return the outage, {@link ServiceOutage#NONE} if a server may take one
+	 * @return the outage, {@link ServiceOutage#NONE} if a server may accept a request
 	 */
 	public ServiceOutage outage(String service) {
 		List<Backend> serving = of(service).stream().filter(Backend::takesNewWork).toList();
@@ -276,7 +281,7 @@
 	}
 
 	/**
-	 * Lists servers of which it is not known which group they are in.
+	 * Lists the servers whose group is unknown.
 	 * @param service the service's name
 	 * @return their entries
 	 */
@@ -285,29 +290,29 @@
 	}
 
 	/**
-	 * Takes note of the group of a server.
-	 * @param run which life of the server it is
+	 * Records the group of a server.
+	 * @param run the incarnation of the server
 	 * @param group the group's name
 	 */
 	public void grouped(BackendRun run, String group) {
 		find(run.id()).filter((backend) -> backend.entry().run().mayBe(run)).ifPresent((backend) -> {
 			backend.group(this.groups.computeIfAbsent(group, (name) -> new GroupLoad(name, this.groupLimit)),
 					this.clock.nowMillis());
-			countGroups();
+			updateGroupCounts();
 		});
 	}
 
 	/**
-	 * Tells when the passes of each group have last become much longer at once.
+	 * Returns when the passes of each group last became suddenly much longer.
 	 * @return times in milliseconds by the group's name, {@link Long#MIN_VALUE} for never
 	 */
 	public Map<String, Long> passJumps() {
 		return this.groups.values()
 			.stream()
-			.collect(Collectors.toUnmodifiableMap(GroupLoad::name, GroupLoad::jumpedMillis));
+			.collect(Collectors.toUnmodifiableMap(GroupLoad::name, GroupLoad::lastJumpMillis));
 	}
 
-	private void countGroups() {
+	private void updateGroupCounts() {
 		Map<GroupLoad, Integer> ranks = new HashMap<>();
 		Map<GroupLoad, Integer> loads = new HashMap<>();
 		for (Backend backend : this.byId.values()) {
@@ -317,28 +322,29 @@
 			}
 		}
 		this.groups.values().removeIf((group) -> !ranks.containsKey(group));
-		ranks.forEach((group, count) -> group.count(count, (int) Math.round(this.unheardFactor * loads.get(group))));
+		ranks.forEach((group, count) -> group.updateCounts(count,
+				(int) Math.round(this.unreportedFactor * loads.get(group))));
 	}
 
-	private static boolean eligible(Backend backend, String service, Set<String> tried) {
+	private static boolean isEligible(Backend backend, String service, Set<String> tried) {
 		return backend.takesNewWork() && backend.entry().service().equals(service) && !tried.contains(backend.id());
 	}
 
 	/**
-	 * Takes over how many requests peers have at each server.
+	 * Updates the number of requests that peers have at each server.
 	 * @param byServer the sum over all peers that have reported, by server id
-	 * @param unheardFactor by how much more all processes may have than is known, 1 or
-	 * more
+	 * @param unreportedFactor the factor by which the requests of all processes may
+	 * exceed the known ones, at least 1
 	 */
-	public void peersInFlight(Map<String, Integer> byServer, double unheardFactor) {
-		this.unheardFactor = unheardFactor;
+	public void peersInFlight(Map<String, Integer> byServer, double unreportedFactor) {
+		this.unreportedFactor = unreportedFactor;
 		this.byId.forEach((id, backend) -> backend.peersInFlight(byServer.getOrDefault(id, 0)));
-		countGroups();
+		updateGroupCounts();
 	}
 
 	/**
-	 * Returns how many requests this process has at each server.
-	 * @return numbers of requests by server id, zeros left out
+	 * Returns the number of requests of this process at each server.
+	 * @return numbers of requests by server id, without zeros
 	 */
 	public Map<String, Integer> inFlight() {
 		Map<String, Integer> counts = new HashMap<>();
--- a/gateway/src/main/java/org/snowwind/gateway/backend/DrawnByRoom.java
+++ b/gateway/src/main/java/org/snowwind/gateway/backend/DrawnByRoom.java
@@ -5,28 +5,28 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Draws a server, the likelier the more room it has.
+ * Picks a server at random, with a higher probability for servers with more room.
  *
  * <p>
- * What other gateways have sent is known some hundred milliseconds late. If all took the
- * server that looked least full, they would all take the same one until the news came
- * round.
+ * Requests of other gateways become known some hundred milliseconds late. If all gateways
+ * picked the server that seems least utilized, they would all pick the same one until the
+ * next reports arrive.
  */
 final class DrawnByRoom implements ServerPick {
 
 	/**
-	 * The power of the room in a server's weight. Of 1, 2 and 4 it sent the fewest
-	 * requests to full servers at 64 servers, 39 gateways and news 300 ms old; see
-	 * docs/design/platform.md.
+	 * The exponent of the free share in a server's weight. Of 1, 2 and 4 this value sent
+	 * the fewest requests to full servers, with 64 servers, 39 gateways and reports that
+	 * are 300 ms old; see docs/design/platform.md.
 	 */
-	private static final double POWER = 2;
+	private static final double FREE_SHARE_EXPONENT = 2;
 
 	/**
-	 * How much likelier a server in the own data centre is drawn than another with the
-	 * same room: two of three requests stay there where a third of the servers are, and a
-	 * data centre that is busier than others still gets its share elsewhere.
+	 * How much more likely a server in the same data centre is picked than a remote one
+	 * with the same room. If a third of the servers are local, two of three requests stay
+	 * local, and a data centre that is busier than others can still use remote servers.
 	 */
-	private static final double NEAR_WEIGHT = 4;
+	private static final double LOCAL_WEIGHT = 4;
 
 	@Override
 	public Optional<Backend> pick(List<Candidate> candidates, RandomGenerator random) {
@@ -47,7 +47,7 @@
 	}
 
 	private static double weight(Candidate candidate) {
-		return Math.pow(candidate.roomShare(), POWER) * (candidate.near() ? NEAR_WEIGHT : 1);
+		return Math.pow(candidate.freeShare(), FREE_SHARE_EXPONENT) * (candidate.local() ? LOCAL_WEIGHT : 1);
 	}
 
 }
--- a/gateway/src/main/java/org/snowwind/gateway/backend/GroupLimit.java
+++ b/gateway/src/main/java/org/snowwind/gateway/backend/GroupLimit.java
@@ -1,38 +1,39 @@
 package org.snowwind.gateway.backend;
 
 /**
- * Says how many requests a group of ranks may have.
+ * Limits the number of requests of a group of ranks.
  */
 interface GroupLimit {
 
 	/**
-	 * Returns how many requests the group may have.
-	 * @param passes how long its passes take
-	 * @param needs what the group is and what is on time
+	 * Returns the maximum number of requests of the group.
+	 * @param passes the measured time of passes
+	 * @param parameters the size of the group and its latency target
 	 * @param nowMillis the time, in milliseconds
 	 * @return a number of requests
 	 */
-	int limit(PassTime passes, Needs needs, long nowMillis);
+	int limit(PassTime passes, Parameters parameters, long nowMillis);
 
 	/**
-	 * Fills every slot.
+	 * Returns a limit that allows a request in every slot.
 	 * @return the limit
 	 */
 	static GroupLimit allSlots() {
-		return (passes, needs, nowMillis) -> needs.slots();
+		return (passes, parameters, nowMillis) -> parameters.slots();
 	}
 
 	/**
-	 * Fills a fixed part of the slots.
-	 * @param share the part, above 0 and at most 1
+	 * Returns a limit that allows requests in a fixed share of the slots.
+	 * @param share the share, above 0 and at most 1
 	 * @return the limit
 	 */
 	static GroupLimit slotShare(double share) {
-		return (passes, needs, nowMillis) -> (int) Math.ceil(share * needs.slots());
+		return (passes, parameters, nowMillis) -> (int) Math.ceil(share * parameters.slots());
 	}
 
 	/**
-	 * Fills the group until its passes take as long as they may on the mean.
+	 * Returns a limit that allows requests until the mean time of a pass reaches its
+	 * maximum.
 	 * @return the limit
 	 */
 	static GroupLimit meanPass() {
@@ -40,14 +41,14 @@
 	}
 
 	/**
-	 * What a group is and what is on time.
+	 * The size of a group and its latency target.
 	 *
-	 * @param slots how many requests all its ranks run at once
+	 * @param slots how many requests all ranks of the group run concurrently
 	 * @param emptyPassMillis the time of a pass without requests, in milliseconds
-	 * @param pauseTargetMillis the longest pause on time, in milliseconds; 0 if there is
-	 * none
+	 * @param pauseTargetMillis the maximum pause that is on time, in milliseconds; 0 if
+	 * there is no target
 	 */
-	record Needs(int slots, double emptyPassMillis, long pauseTargetMillis) {
+	record Parameters(int slots, double emptyPassMillis, long pauseTargetMillis) {
 
 	}
 
--- a/gateway/src/main/java/org/snowwind/gateway/backend/GroupLoad.java
+++ b/gateway/src/main/java/org/snowwind/gateway/backend/GroupLoad.java
@@ -5,32 +5,34 @@
 import org.snowwind.model.event.EventLog;
 
 /**
- * How loaded a group of ranks is, and how much more it takes. Confined to the loop.
+ * The load of a group of ranks and its remaining capacity. Confined to the event loop.
  *
  * <p>
- * How full it may be says its {@link GroupLimit}. A group whose ranks refuse or whose
- * streams are all silent is closed, but for one request at a time that finds out whether
- * it works again.
+ * A {@link GroupLimit} defines how many requests the group may have. A group whose ranks
+ * reject requests, or whose streams all receive no events, is closed. A closed group gets
+ * only one request at a time as a probe, until it works again.
  */
 public final class GroupLoad {
 
-	/** Stands for the group of a server that is in none. */
+	/** The placeholder for a server that is in no group. */
 	static final GroupLoad NONE = new GroupLoad("");
 
-	/** So many refusals in a row, by whatever ranks, close a group for a while. */
-	private static final int REFUSALS_TO_CLOSE = 3;
+	/** The number of successive rejections, by any ranks, that close a group. */
+	private static final int REJECTIONS_TO_CLOSE = 3;
 
 	/**
-	 * A group that lost a rank is formed anew within about a second; one request asks so
-	 * often whether it was.
+	 * The time after which a closed group gets a probe, and another one after each
+	 * rejection, in milliseconds. A group that lost a rank is formed again within about a
+	 * second.
 	 */
-	private static final long CLOSED_MILLIS = 250;
+	private static final long PROBE_DELAY_MILLIS = 250;
 
 	/**
-	 * Each pass gives each stream an event, so that a group whose streams are all silent
-	 * for so long stands still, in milliseconds; several of the longest passes on time.
+	 * The time without an event on any stream after which a group counts as stalled, in
+	 * milliseconds. Each pass produces an event for each stream, and this is several
+	 * times the longest pass that is on time.
 	 */
-	private static final long STANDSTILL_MILLIS = 500;
+	private static final long STALL_MILLIS = 500;
 
 	private final String name;
 
@@ -42,13 +44,13 @@
 
 	private final PassTime passes = new PassTime();
 
-	private int refusals;
+	private int rejections;
 
 	private long closedUntilMillis;
 
 	private boolean closed;
 
-	private boolean probed;
+	private boolean probeInFlight;
 
 	private int streams;
 
@@ -71,23 +73,23 @@
 		return this.name;
 	}
 
-	void count(int nowRanks, int nowLoad) {
+	void updateCounts(int nowRanks, int nowLoad) {
 		this.ranks = nowRanks;
 		this.load = nowLoad;
 	}
 
 	void sent() {
 		this.load++;
-		this.probed = this.closed;
+		this.probeInFlight = this.closed;
 	}
 
-	void ended() {
+	void onRequestEnd() {
 		this.load--;
-		this.probed = false;
+		this.probeInFlight = false;
 	}
 
 	/**
-	 * Counts the requests that the group has, as far as is known.
+	 * Returns the known number of requests of the group.
 	 * @return a number of requests
 	 */
 	public int load() {
@@ -95,30 +97,30 @@
 	}
 
 	/**
-	 * Returns the time of a pass.
-	 * @return the mean, in milliseconds; 0 before any was seen
+	 * Returns the mean time of a pass.
+	 * @return the mean, in milliseconds; 0 before the first observation
 	 */
 	public double passMillis() {
 		return this.passes.millis();
 	}
 
 	/**
-	 * Tells when its passes have last become much longer at once.
+	 * Returns when passes last became suddenly much longer.
 	 * @return the time, in milliseconds; {@link Long#MIN_VALUE} if they never have
 	 */
-	long jumpedMillis() {
-		return this.passes.jumpedMillis();
+	long lastJumpMillis() {
+		return this.passes.lastJumpMillis();
 	}
 
 	/**
-	 * Takes note of a pause between two events of a stream.
+	 * Records a pause between two events of a stream.
 	 * @param pauseMillis the pause, in milliseconds
-	 * @param pauseTargetMillis the longest pause on time, in milliseconds
-	 * @param profile how fast the engines are
+	 * @param pauseTargetMillis the maximum pause that is on time, in milliseconds
+	 * @param profile the performance of the engines
 	 * @param nowMillis the time, in milliseconds
 	 */
-	void paused(long pauseMillis, long pauseTargetMillis, EngineProfile profile, long nowMillis) {
-		opened();
+	void onPause(long pauseMillis, long pauseTargetMillis, EngineProfile profile, long nowMillis) {
+		onProgress();
 		this.lastEventMillis = nowMillis;
 		boolean jumped = this.passes.observe(pauseMillis, pauseTargetMillis, emptyPassMillis(profile), this.load,
 				nowMillis);
@@ -133,79 +135,79 @@
 	}
 
 	/**
-	 * Tells how much room the group has.
-	 * @param wanted what is needed
+	 * Returns the free fraction of the group's limit.
+	 * @param requirements the requirements of a request
 	 * @param nowMillis the time, in milliseconds
-	 * @return the free part of what it may have, 1 for no group, 0 or less for a full one
+	 * @return the free fraction, 1 for no group, 0 or less for a full or closed one
 	 */
-	double roomShare(Wanted wanted, long nowMillis) {
+	double freeShare(Wanted requirements, long nowMillis) {
 		if (this == NONE) {
 			return 1;
 		}
-		closeIfStandingStill(nowMillis);
-		if (!open(nowMillis)) {
+		closeIfStalled(nowMillis);
+		if (!accepts(nowMillis)) {
 			return 0;
 		}
-		double limit = limit(wanted.pauseTargetMillis(), wanted.engine(), nowMillis);
+		double limit = limit(requirements.pauseTargetMillis(), requirements.engine(), nowMillis);
 		return 1 - this.load / limit;
 	}
 
 	/**
-	 * Returns how many requests the group can have with all streams on time.
-	 * @param pauseTargetMillis the longest pause on time, in milliseconds
-	 * @param profile how fast the engines are
+	 * Returns how many requests the group can have while all streams are on time.
+	 * @param pauseTargetMillis the maximum pause that is on time, in milliseconds
+	 * @param profile the performance of the engines
 	 * @param nowMillis the time, in milliseconds
 	 * @return a number of requests
 	 */
 	int limit(long pauseTargetMillis, EngineProfile profile, long nowMillis) {
 		int slots = this.ranks * profile.slots();
-		GroupLimit.Needs needs = new GroupLimit.Needs(slots, emptyPassMillis(profile), pauseTargetMillis);
-		return this.limit.limit(this.passes, needs, nowMillis);
+		GroupLimit.Parameters parameters = new GroupLimit.Parameters(slots, emptyPassMillis(profile),
+				pauseTargetMillis);
+		return this.limit.limit(this.passes, parameters, nowMillis);
 	}
 
 	/**
-	 * Takes note that a rank refused a request.
+	 * Records that a rank rejected a request or could not be reached.
 	 * @param nowMillis the time, in milliseconds
 	 */
-	void refused(long nowMillis) {
-		this.refusals++;
-		if (this.closed || this.refusals >= REFUSALS_TO_CLOSE) {
-			close("its ranks refuse", nowMillis);
+	void onRejection(long nowMillis) {
+		this.rejections++;
+		if (this.closed || this.rejections >= REJECTIONS_TO_CLOSE) {
+			close("ranks reject requests", nowMillis);
 		}
 	}
 
 	/**
-	 * Takes note that a stream has begun.
+	 * Records that a stream has begun.
 	 * @param nowMillis the time, in milliseconds
 	 */
 	void streamBegan(long nowMillis) {
 		this.streams++;
 		this.lastEventMillis = nowMillis;
-		opened();
+		onProgress();
 	}
 
 	/**
-	 * Takes note of streams that began before it was known that their rank is in this
-	 * group.
-	 * @param count how many
+	 * Adds streams that began before their rank was known to be in this group.
+	 * @param count the number of streams
 	 * @param nowMillis the time, in milliseconds
 	 */
-	void streamsJoined(int count, long nowMillis) {
+	void addStreams(int count, long nowMillis) {
 		this.streams += count;
 		this.lastEventMillis = Math.max(this.lastEventMillis, nowMillis);
 	}
 
 	/**
-	 * Takes note that streams that had begun have ended.
-	 * @param count how many
+	 * Removes streams that have ended or whose rank has moved to another group.
+	 * @param count the number of streams
 	 */
-	void streamsLeft(int count) {
+	void removeStreams(int count) {
 		this.streams -= count;
 	}
 
-	private void opened() {
-		this.refusals = 0;
-		this.probed = false;
+	private void onProgress() {
+		this.rejections = 0;
+		this.probeInFlight = false;
 		if (this.closed) {
 			this.closed = false;
 			EventLog.log(Event.GROUP_OPENED, "group", this.name, "load", this.load);
@@ -213,35 +215,36 @@
 	}
 
 	private void close(String reason, long nowMillis) {
-		this.closedUntilMillis = nowMillis + CLOSED_MILLIS;
+		this.closedUntilMillis = nowMillis + PROBE_DELAY_MILLIS;
 		if (!this.closed) {
 			this.closed = true;
-			EventLog.log(Event.GROUP_CLOSED, "group", this.name, "reason", reason, "refusals", this.refusals, "streams",
-					this.streams, "sinceEventMillis", nowMillis - this.lastEventMillis, "load", this.load);
+			EventLog.log(Event.GROUP_CLOSED, "group", this.name, "reason", reason, "refusals", this.rejections,
+					"streams", this.streams, "sinceEventMillis", nowMillis - this.lastEventMillis, "load", this.load);
 		}
 	}
 
-	private void closeIfStandingStill(long nowMillis) {
-		if (!this.closed && this.streams > 0 && nowMillis - this.lastEventMillis > STANDSTILL_MILLIS) {
-			close("its streams are silent", nowMillis);
+	private void closeIfStalled(long nowMillis) {
+		if (!this.closed && this.streams > 0 && nowMillis - this.lastEventMillis > STALL_MILLIS) {
+			close("no events on any stream", nowMillis);
 		}
 	}
 
 	/**
-	 * Tells whether the group is known to take requests.
-	 * @return false from when it has refused several until it answers one
+	 * Returns whether the group is closed.
+	 * @return true from successive rejections or a stall until a stream begins or has an
+	 * event
 	 */
-	boolean closed() {
+	boolean isClosed() {
 		return this.closed;
 	}
 
 	/**
-	 * Tells whether the group takes a request.
+	 * Returns whether the group may be sent a request.
 	 * @param nowMillis the time, in milliseconds
-	 * @return false while it is closed, but for one request at a time that finds out
+	 * @return true if the group is open, or if it is closed and a probe is due
 	 */
-	boolean open(long nowMillis) {
-		return !this.closed || (nowMillis >= this.closedUntilMillis && !this.probed);
+	boolean accepts(long nowMillis) {
+		return !this.closed || (nowMillis >= this.closedUntilMillis && !this.probeInFlight);
 	}
 
 }
--- a/gateway/src/main/java/org/snowwind/gateway/backend/LeastFull.java
+++ b/gateway/src/main/java/org/snowwind/gateway/backend/LeastFull.java
@@ -5,26 +5,26 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Takes the least full server, one of them at random if there are several. A server in
- * the own data centre is preferred while it has about one request more at most.
+ * Picks the least utilized server, at random among equal ones. A server in the same data
+ * centre is preferred as long as it has at most about one request more than a remote one.
  */
 final class LeastFull implements ServerPick {
 
-	/** What the way to another data centre weighs, in parts of a full server. */
-	private static final double WAY_WEIGHT = 0.15;
+	/** The penalty of a server in another data centre, as a fraction of its capacity. */
+	private static final double REMOTE_PENALTY = 0.15;
 
 	@Override
 	public Optional<Backend> pick(List<Candidate> candidates, RandomGenerator random) {
 		Backend best = null;
-		double bestFullness = Double.MAX_VALUE;
+		double lowestUtilization = Double.MAX_VALUE;
 		int ties = 0;
 		for (Candidate candidate : candidates) {
-			double fullness = candidate.fullness() + (candidate.near() ? 0 : WAY_WEIGHT);
-			ties = (fullness == bestFullness) ? ties + 1 : 1;
-			boolean drawn = fullness == bestFullness && random.nextInt(ties) == 0;
-			if (fullness < bestFullness || drawn) {
+			double utilization = candidate.utilization() + (candidate.local() ? 0 : REMOTE_PENALTY);
+			ties = (utilization == lowestUtilization) ? ties + 1 : 1;
+			boolean drawn = utilization == lowestUtilization && random.nextInt(ties) == 0;
+			if (utilization < lowestUtilization || drawn) {
 				best = candidate.backend();
-				bestFullness = fullness;
+				lowestUtilization = utilization;
 			}
 		}
 		return Optional.ofNullable(best);
--- a/gateway/src/main/java/org/snowwind/gateway/backend/MeanPassLimit.java
+++ b/gateway/src/main/java/org/snowwind/gateway/backend/MeanPassLimit.java
@@ -1,39 +1,40 @@
 package org.snowwind.gateway.backend;
 
 /**
- * Fills a group until its passes take as long as they may on the mean.
+ * Allows requests until the mean time of a pass reaches its maximum.
  *
  * <p>
- * Load answered: more requests than a group steps in time. Beyond the number at which a
- * pass takes as long as a pause may last, one more request would make all streams of the
+ * Handles more requests than a group can serve on time. Above the number at which a pass
+ * takes as long as the maximum pause, one more request would make all streams of the
  * group late.
  */
 final class MeanPassLimit implements GroupLimit {
 
 	/**
-	 * The part of the longest pause on time that a pass may take on the mean. A stream is
-	 * late by the longest of two dozen passes, and prompts that are read make some of
-	 * them longer; but a caller who is turned away is late as well. Played by the load
-	 * model over nine loads a request is worth 0.937, with every slot filled 0.898, with
-	 * 0.6 of them 0.885, and 0.927 and 0.917 at 0.76 and 0.84.
+	 * The maximum mean time of a pass, as a fraction of the maximum pause that is on
+	 * time. The longest of about two dozen passes decides whether a stream is late, and
+	 * reading prompts makes some passes longer. On the other hand, a rejected request is
+	 * late as well. In the load model, over nine loads, the mean utility of a request is
+	 * 0.937 with this value, 0.927 at 0.76 and 0.917 at 0.84. It is 0.898 if every slot
+	 * is used and 0.885 if 0.6 of the slots are.
 	 */
-	private static final double PASS_SHARE = 0.65;
+	private static final double MAX_PASS_SHARE = 0.65;
 
 	/**
-	 * At least this part of the slots is always filled: fewer would leave engines idle
-	 * because of a pass that was slow for another reason. At 0.4 and 0.7 the load model
-	 * gives 0.925 and 0.914.
+	 * The minimum share of the slots that may always be used. A lower minimum would leave
+	 * engines idle after a pass that was slow for another reason. In the load model the
+	 * mean utility of a request falls to 0.925 at 0.4 and to 0.914 at 0.7.
 	 */
-	private static final double LEAST_SHARE = 0.55;
+	private static final double MIN_SLOT_SHARE = 0.55;
 
 	@Override
-	public int limit(PassTime passes, Needs needs, long nowMillis) {
-		if (!passes.known(nowMillis) || passes.perRequestMillis() <= 0 || needs.pauseTargetMillis() <= 0) {
-			return needs.slots();
+	public int limit(PassTime passes, Parameters parameters, long nowMillis) {
+		if (!passes.isCurrent(nowMillis) || passes.perRequestMillis() <= 0 || parameters.pauseTargetMillis() <= 0) {
+			return parameters.slots();
 		}
-		double roomMillis = PASS_SHARE * needs.pauseTargetMillis() - needs.emptyPassMillis();
-		int limit = (int) (roomMillis / passes.perRequestMillis());
-		return Math.max((int) Math.ceil(LEAST_SHARE * needs.slots()), Math.min(needs.slots(), limit));
+		double budgetMillis = MAX_PASS_SHARE * parameters.pauseTargetMillis() - parameters.emptyPassMillis();
+		int limit = (int) (budgetMillis / passes.perRequestMillis());
+		return Math.max((int) Math.ceil(MIN_SLOT_SHARE * parameters.slots()), Math.min(parameters.slots(), limit));
 	}
 
 }
--- a/gateway/src/main/java/org/snowwind/gateway/backend/PassTime.java
+++ b/gateway/src/main/java/org/snowwind/gateway/backend/PassTime.java
@@ -1,118 +1,127 @@
 package org.snowwind.gateway.backend;
 
 /**
- * Learns how long the passes of a group take, from the pauses between events of our own
- * streams. Confined to the loop.
+ * Estimates how long the passes of a group take from the pauses between the events of
+ * this process's own streams. Confined to the event loop.
  *
  * <p>
- * All ranks of a group step together, and each pass gives every stream one event. What a
- * pass takes beyond that of an empty group grows with the requests of the whole group and
- * with the skew between its ranks, which a move of demand doubles from one pass to the
- * next.
+ * All ranks of a group step together, and each pass produces one event for every stream.
+ * The time of a pass in excess of that of an empty group grows with the requests of the
+ * whole group and with the skew between its ranks, which a shift of demand between
+ * experts doubles from one pass to the next.
  */
 final class PassTime {
 
-	/** The part of a new pause in the means. */
-	private static final double PAUSE_SHARE = 0.04;
+	/** The weight of a new pause in the moving averages. */
+	private static final double MEAN_WEIGHT = 0.04;
 
-	/** Pauses beyond this many longest ones are stalls and say nothing of the load. */
-	private static final double STALL = 3;
+	/**
+	 * Pauses above this multiple of the maximum pause that is on time are stalls. They do
+	 * not depend on the load and are ignored.
+	 */
+	private static final double STALL_FACTOR = 3;
 
-	/** After this time without an event the means say nothing, in milliseconds. */
-	private static final long MEAN_LIFE_MILLIS = 2000;
+	/** The time without an event after which the averages are stale, in milliseconds. */
+	private static final long MAX_AGE_MILLIS = 2000;
 
-	/** The part of a new pause in the mean that shows a jump: most of it in one pass. */
-	private static final double QUICK_SHARE = 0.2;
+	/**
+	 * The weight of a new pause in the fast average. With several streams it follows a
+	 * jump mostly within one pass.
+	 */
+	private static final double FAST_WEIGHT = 0.2;
 
-	/** The part of a new pause in the mean that a jump is seen against. */
-	private static final double SLOW_SHARE = 0.01;
+	/** The weight of a new pause in the slow average, the baseline for jumps. */
+	private static final double SLOW_WEIGHT = 0.01;
 
 	/**
-	 * Passes have jumped when requests cost so much more than they did: a move of demand
-	 * doubles the cost, prompts that are read at once raise it by a quarter.
+	 * The ratio of the fast to the slow average above which the time of passes has
+	 * jumped. A shift of demand between experts doubles the time per request. Prompts
+	 * that are read at the same time increase it by a quarter.
 	 */
-	private static final double JUMP = 1.5;
+	private static final double JUMP_RATIO = 1.5;
 
-	/** Passes that have jumped can do so again when they cost no more than this. */
-	private static final double SETTLED = 1.2;
+	/**
+	 * The ratio below which passes have settled, so that another jump can be detected.
+	 */
+	private static final double SETTLED_RATIO = 1.2;
 
 	private double millis;
 
 	private double perRequestMillis;
 
-	private double quickMillis;
+	private double fastPerRequestMillis;
 
-	private double slowMillis;
+	private double slowPerRequestMillis;
 
 	private long observedMillis;
 
 	private boolean settled = true;
 
-	private long jumpedMillis = Long.MIN_VALUE;
+	private long lastJumpMillis = Long.MIN_VALUE;
 
 	/**
-	 * Takes note of a pause between two events of a stream.
+	 * Records a pause between two events of a stream.
 	 * @param pauseMillis the pause, in milliseconds
-	 * @param pauseTargetMillis the longest pause on time, in milliseconds
+	 * @param pauseTargetMillis the maximum pause that is on time, in milliseconds
 	 * @param emptyMillis the time of a pass of an empty group, in milliseconds
-	 * @param load how many requests the group has
+	 * @param load the number of requests of the group
 	 * @param nowMillis the time, in milliseconds
-	 * @return whether passes have become much longer at once
+	 * @return whether passes suddenly became much longer
 	 */
 	boolean observe(long pauseMillis, long pauseTargetMillis, double emptyMillis, int load, long nowMillis) {
-		if (pauseMillis > STALL * pauseTargetMillis) {
+		if (pauseMillis > STALL_FACTOR * pauseTargetMillis) {
 			return false;
 		}
-		double share = known(nowMillis) ? PAUSE_SHARE : 1;
-		this.millis += share * (pauseMillis - this.millis);
+		double weight = isCurrent(nowMillis) ? MEAN_WEIGHT : 1;
+		this.millis += weight * (pauseMillis - this.millis);
 		this.observedMillis = nowMillis;
 		double perRequest = Math.max(0, this.millis - emptyMillis) / Math.max(1, load);
-		this.perRequestMillis += share * (perRequest - this.perRequestMillis);
-		return noteJump(Math.max(0, pauseMillis - emptyMillis) / Math.max(1, load), share == 1, nowMillis);
+		this.perRequestMillis += weight * (perRequest - this.perRequestMillis);
+		return detectJump(Math.max(0, pauseMillis - emptyMillis) / Math.max(1, load), weight == 1, nowMillis);
 	}
 
-	private boolean noteJump(double perRequest, boolean first, long nowMillis) {
-		this.quickMillis += (first ? 1 : QUICK_SHARE) * (perRequest - this.quickMillis);
-		this.slowMillis += (first ? 1 : SLOW_SHARE) * (perRequest - this.slowMillis);
-		if (this.settled && this.quickMillis > JUMP * this.slowMillis) {
+	private boolean detectJump(double perRequest, boolean first, long nowMillis) {
+		this.fastPerRequestMillis += (first ? 1 : FAST_WEIGHT) * (perRequest - this.fastPerRequestMillis);
+		this.slowPerRequestMillis += (first ? 1 : SLOW_WEIGHT) * (perRequest - this.slowPerRequestMillis);
+		if (this.settled && this.fastPerRequestMillis > JUMP_RATIO * this.slowPerRequestMillis) {
 			this.settled = false;
-			this.jumpedMillis = nowMillis;
+			this.lastJumpMillis = nowMillis;
 			return true;
 		}
-		if (this.quickMillis < SETTLED * this.slowMillis) {
+		if (this.fastPerRequestMillis < SETTLED_RATIO * this.slowPerRequestMillis) {
 			this.settled = true;
 		}
 		return false;
 	}
 
 	/**
-	 * Tells when passes have last become much longer at once, as they do when demand for
-	 * experts moves.
+	 * Returns when passes last became suddenly much longer, which happens when the demand
+	 * for experts shifts.
 	 * @return the time, in milliseconds; {@link Long#MIN_VALUE} if they never have
 	 */
-	long jumpedMillis() {
-		return this.jumpedMillis;
+	long lastJumpMillis() {
+		return this.lastJumpMillis;
 	}
 
 	/**
-	 * Tells whether anything was seen lately.
+	 * Returns whether there are recent observations.
 	 * @param nowMillis the time, in milliseconds
-	 * @return false if the means say nothing
+	 * @return false if there are none or the averages are stale
 	 */
-	boolean known(long nowMillis) {
-		return this.millis > 0 && nowMillis - this.observedMillis <= MEAN_LIFE_MILLIS;
+	boolean isCurrent(long nowMillis) {
+		return this.millis > 0 && nowMillis - this.observedMillis <= MAX_AGE_MILLIS;
 	}
 
 	/**
-	 * Returns the time of a pass.
-	 * @return the mean, in milliseconds; 0 before any was seen
+	 * Returns the mean time of a pass.
+	 * @return the mean, in milliseconds; 0 before the first observation
 	 */
 	double millis() {
 		return this.millis;
 	}
 
 	/**
-	 * Returns what one more request adds to a pass now.
+	 * Returns the time that one more request adds to a pass.
 	 * @return the mean, in milliseconds
 	 */
 	double perRequestMillis() {
--- a/gateway/src/main/java/org/snowwind/gateway/backend/RemovedNotices.java
+++ b/gateway/src/main/java/org/snowwind/gateway/backend/RemovedNotices.java
@@ -6,29 +6,29 @@
 import org.snowwind.gateway.registry.BackendRun;
 
 /**
- * The notices of servers that are no longer registered. Confined to the loop.
+ * The notices of servers that are no longer registered. Confined to the event loop.
  *
  * <p>
- * An entry lapses while its server cannot reach the registry, and returns; what the
- * incarnation has announced holds all the while.
+ * The entry of a server expires while the server cannot reach the registry and is written
+ * again later. The announcements of its incarnation stay valid in the meantime.
  */
 final class RemovedNotices {
 
-	/** The latest so many are kept. */
-	private static final int MOST = 1024;
+	/** The maximum number of servers whose notices are kept; the oldest are dropped. */
+	private static final int MAX_ENTRIES = 1024;
 
 	private final Map<String, Removed> byId = new LinkedHashMap<>() {
 
 		@Override
 		protected boolean removeEldestEntry(Map.Entry<String, Removed> eldest) {
-			return size() > MOST;
+			return size() > MAX_ENTRIES;
 		}
 
 	};
 
 	/**
 	 * Keeps the notices of a server whose entry was removed.
-	 * @param run its incarnation as it was registered last
+	 * @param run the incarnation in its last entry
 	 * @param notices its notices
 	 */
 	void keep(BackendRun run, BackendNotices notices) {
@@ -36,10 +36,10 @@
 	}
 
 	/**
-	 * Takes the notices of a server that is registered.
+	 * Removes and returns the notices of a server that is registered.
 	 * @param run its incarnation
-	 * @return what this incarnation had announced before its entry was removed, new
-	 * notices if that is not known
+	 * @return the notices of this incarnation from before its entry was removed, or new
+	 * notices if there are none
 	 */
 	BackendNotices take(BackendRun run) {
 		Removed removed = this.byId.remove(run.id());
--- a/gateway/src/main/java/org/snowwind/gateway/backend/ServerPick.java
+++ b/gateway/src/main/java/org/snowwind/gateway/backend/ServerPick.java
@@ -18,19 +18,20 @@
 	Optional<Backend> pick(List<Candidate> candidates, RandomGenerator random);
 
 	/**
-	 * Returns the way to pick one of few servers, of which a process sees most requests.
-	 * @return the pick
+	 * Returns the strategy for few servers, most requests of which are known to this
+	 * process.
+	 * @return the strategy
 	 */
-	static ServerPick leastFull() {
+	static ServerPick leastUtilized() {
 		return new LeastFull();
 	}
 
 	/**
-	 * Returns the way to pick one of many servers, of which others' requests are known
-	 * late.
-	 * @return the pick
+	 * Returns the strategy for many servers, where requests of other gateways become
+	 * known late.
+	 * @return the strategy
 	 */
-	static ServerPick drawnByRoom() {
+	static ServerPick weightedRandom() {
 		return new DrawnByRoom();
 	}
 
--- a/gateway/src/main/java/org/snowwind/gateway/backend/ServiceOutage.java
+++ b/gateway/src/main/java/org/snowwind/gateway/backend/ServiceOutage.java
@@ -3,16 +3,16 @@
 import java.util.List;
 
 /**
- * Tells that all servers of a service are known to reject requests: each backs off or is
- * in a group that is closed.
+ * The state of a service all of whose servers are known to reject requests. Each of them
+ * backs off or is in a closed group.
  *
- * @param total whether that is so
+ * @param total whether all servers are known to reject requests
  * @param returnsMillis when each of the servers that back off may be sent requests again,
  * in milliseconds and in order; empty if none backs off
  */
 public record ServiceOutage(boolean total, List<Long> returnsMillis) {
 
-	/** A server of the service may take a request. */
+	/** No outage: a server of the service may accept a request. */
 	public static final ServiceOutage NONE = new ServiceOutage(false, List.of());
 
 	static ServiceOutage of(List<Backend> serving, long nowMillis) {
@@ -29,21 +29,21 @@
 	}
 
 	private static boolean isAvailable(Backend backend, long nowMillis) {
-		boolean closed = backend.group() != null && backend.group().closed();
+		boolean closed = backend.group() != null && backend.group().isClosed();
 		return !closed && backend.notices().backoff().admits(nowMillis);
 	}
 
 	/**
-	 * Counts the servers that return in time.
-	 * @param latestMillis the latest time that is in time, in milliseconds
-	 * @return how many may be sent a request until then
+	 * Counts the servers whose backoff ends by a given time.
+	 * @param latestMillis the time, in milliseconds
+	 * @return how many of them may be sent a request by then
 	 */
 	long returningBy(long latestMillis) {
 		return this.returnsMillis.stream().filter((returnMillis) -> returnMillis <= latestMillis).count();
 	}
 
 	/**
-	 * Returns how long it takes until the first server returns.
+	 * Returns the time until the first backoff ends.
 	 * @param nowMillis the time, in milliseconds
 	 * @return the time, in milliseconds; 0 if it is not known
 	 */
--- a/gateway/src/main/java/org/snowwind/gateway/backend/SharedLimits.java
+++ b/gateway/src/main/java/org/snowwind/gateway/backend/SharedLimits.java
@@ -19,19 +19,22 @@
 import org.snowwind.model.MonotonicClock;
 
 /**
- * What this process knows of the limits of all servers, what it wants of their rates, and
- * what it was granted. Confined to the loop.
+ * The limits of all servers as known to this process, its demand for their rates, and the
+ * shares that it was granted. Confined to the event loop.
  */
 public final class SharedLimits {
 
-	/** Peers are told of so many servers at once, those that changed last first. */
-	private static final int MOST_WORDS = 64;
+	/**
+	 * The maximum number of announcements that are sent to peers at once. The limits that
+	 * changed last have priority.
+	 */
+	private static final int MAX_ANNOUNCEMENTS = 64;
 
 	private static final double MILLIS_PER_SECOND = 1000;
 
 	private final Supplier<Stream<Backend>> backends;
 
-	private final Function<String, Optional<Backend>> find;
+	private final Function<String, Optional<Backend>> lookup;
 
 	private final MonotonicClock clock;
 
@@ -40,19 +43,19 @@
 	private final Map<String, Integer> waiting = new HashMap<>();
 
 	/**
-	 * Creates limits that nobody has named.
+	 * Creates the state without any limit.
 	 * @param backends lists all servers
 	 * @param find finds a server by its id
-	 * @param clock tells the time
+	 * @param clock the clock
 	 */
 	SharedLimits(Supplier<Stream<Backend>> backends, Function<String, Optional<Backend>> find, MonotonicClock clock) {
 		this.backends = backends;
-		this.find = find;
+		this.lookup = find;
 		this.clock = clock;
 	}
 
 	/**
-	 * Takes note of a request of a caller.
+	 * Records the arrival of a request of a caller.
 	 * @param service the service's name
 	 */
 	public void arrived(String service) {
@@ -60,33 +63,34 @@
 	}
 
 	/**
-	 * Takes note of requests that begin or end to wait for a server.
+	 * Records requests that start or stop waiting for a server.
 	 * @param service the service's name
-	 * @param more how many more wait, below 0 for fewer
+	 * @param change the change of the number of waiting requests, negative for fewer
 	 */
-	public void waits(String service, int more) {
-		this.waiting.merge(service, more, Integer::sum);
+	public void waits(String service, int change) {
+		this.waiting.merge(service, change, Integer::sum);
 	}
 
 	/**
-	 * Counts the requests that wait for a server.
+	 * Returns the number of requests that wait for a server.
 	 * @param service the service's name
-	 * @return how many wait
+	 * @return the number of waiting requests
 	 */
 	int waiting(String service) {
 		return this.waiting.getOrDefault(service, 0);
 	}
 
 	/**
-	 * Tells how long a further request waits for a server where all servers of its
-	 * service take a limited rate.
+	 * Returns the expected queueing delay of a further request if all servers of its
+	 * service have a limit.
 	 * @param service the service's name
-	 * @return the time, in milliseconds; 0 if a server that takes new work takes any
-	 * rate, {@link Long#MAX_VALUE} if as many wait as can be expected to be sent
+	 * @return the delay, in milliseconds; 0 if no request waits or if a server that
+	 * accepts requests now has no limit, {@link Long#MAX_VALUE} if requests wait and none
+	 * is expected to be sent
 	 */
 	long queueMillis(String service) {
-		int ahead = waiting(service);
-		if (ahead == 0) {
+		int queuedAhead = waiting(service);
+		if (queuedAhead == 0) {
 			return 0;
 		}
 		long nowMillis = this.clock.nowMillis();
@@ -98,12 +102,12 @@
 		if (Double.isInfinite(perSecond)) {
 			return 0;
 		}
-		return (perSecond > 0) ? Math.round(MILLIS_PER_SECOND * (ahead + 1) / perSecond) : Long.MAX_VALUE;
+		return (perSecond > 0) ? Math.round(MILLIS_PER_SECOND * (queuedAhead + 1) / perSecond) : Long.MAX_VALUE;
 	}
 
 	/**
-	 * Returns what is known now, for other threads.
-	 * @return the limits that stand, words for peers and wishes
+	 * Returns a snapshot of the current state for other threads.
+	 * @return the active limits, the announcements for peers, and the demand
 	 */
 	public Snapshot snapshot() {
 		List<Backend> known = this.backends.get().filter((backend) -> backend.limit().known().known()).toList();
@@ -111,82 +115,83 @@
 			return Snapshot.NONE;
 		}
 		List<Backend> limited = known.stream().filter((backend) -> backend.limit().known().stands()).toList();
-		Map<String, Double> standing = limited.stream()
+		Map<String, Double> active = limited.stream()
 			.collect(Collectors.toUnmodifiableMap(Backend::id, (backend) -> backend.limit().known().perSecond()));
-		return new Snapshot(standing, words(known), wishes(limited));
+		return new Snapshot(active, announcements(known), wishes(limited));
 	}
 
-	private static List<Word> words(List<Backend> known) {
+	private static List<Word> announcements(List<Backend> known) {
 		Comparator<Backend> byChange = Comparator.comparingLong((backend) -> backend.limit().known().changedMillis());
 		return known.stream()
 			.sorted(byChange.reversed())
-			.limit(MOST_WORDS)
+			.limit(MAX_ANNOUNCEMENTS)
 			.map((backend) -> new Word(backend.entry().run(), backend.limit().known().word()))
 			.toList();
 	}
 
 	/**
-	 * Takes note of what a peer has heard.
-	 * @param words words of servers, by the own clock
+	 * Records announcements of servers that a peer has received.
+	 * @param announcements the announcements, with times by the local clock
 	 */
-	public void heard(List<Word> words) {
+	public void heard(List<Word> announcements) {
 		long nowMillis = this.clock.nowMillis();
-		words.forEach((word) -> of(word.run()).ifPresent((limit) -> limit.heard(word.word(), nowMillis)));
+		announcements.forEach((announcement) -> limitOf(announcement.run())
+			.ifPresent((limit) -> limit.onPeerAnnouncement(announcement.word(), nowMillis)));
 	}
 
-	private Optional<BackendLimit> of(BackendRun run) {
-		return this.find.apply(run.id()).filter((backend) -> backend.entry().run().mayBe(run)).map(Backend::limit);
+	private Optional<BackendLimit> limitOf(BackendRun run) {
+		return this.lookup.apply(run.id()).filter((backend) -> backend.entry().run().mayBe(run)).map(Backend::limit);
 	}
 
-	// The requests for a service count for each of its limited servers by what that one
-	// takes.
+	// Divides the demand for a service among its limited servers in proportion to their
+	// usable rates.
 	private List<Wish> wishes(List<Backend> limited) {
 		long nowMillis = this.clock.nowMillis();
 		Map<String, Double> rates = limited.stream()
 			.collect(Collectors.groupingBy((backend) -> backend.entry().service(),
-					Collectors.summingDouble(SharedLimits::usable)));
+					Collectors.summingDouble(SharedLimits::usableRate)));
 		return limited.stream().filter(Backend::takesNewWork).map((backend) -> {
 			String service = backend.entry().service();
-			double wanted = perSecond(service, nowMillis) * usable(backend) / rates.get(service);
+			double wanted = arrivalRate(service, nowMillis) * usableRate(backend) / rates.get(service);
 			return new Wish(backend.entry().run(), new RateWish(backend.limit().known().perSecond(), wanted,
 					backend.limit().grantedPerSecond(nowMillis), waiting(service)));
 		}).toList();
 	}
 
-	private double perSecond(String service, long nowMillis) {
+	private double arrivalRate(String service, long nowMillis) {
 		ArrivalRate rate = this.arrivals.get(service);
 		return (rate != null) ? rate.perSecond(nowMillis) : 0;
 	}
 
-	private static double usable(Backend backend) {
+	private static double usableRate(Backend backend) {
 		return LimitLedger.usableRate(backend.limit().known().perSecond());
 	}
 
 	/**
-	 * Takes over parts of rates.
-	 * @param grants the parts
-	 * @param askedMillis when they were asked for, in milliseconds
+	 * Applies granted shares of rates.
+	 * @param grants the shares
+	 * @param askedMillis when they were requested, in milliseconds
 	 */
 	public void granted(List<Grant> grants, long askedMillis) {
 		long nowMillis = this.clock.nowMillis();
-		grants.forEach(
-				(grant) -> of(grant.run()).ifPresent((limit) -> limit.granted(grant.grant(), askedMillis, nowMillis)));
+		grants.forEach((grant) -> limitOf(grant.run())
+			.ifPresent((limit) -> limit.applyGrant(grant.grant(), askedMillis, nowMillis)));
 	}
 
 	/**
-	 * What is known at one moment.
+	 * The state at one point in time.
 	 *
-	 * @param standing the limits that stand, in requests per second by the server's id
-	 * @param words what peers are told
-	 * @param wishes what this process wants of each limited server
+	 * @param standing the active limits, in requests per second by the server's id
+	 * @param words the announcements that are sent to peers
+	 * @param wishes the demand of this process for the rate of each limited server
 	 */
 	public record Snapshot(Map<String, Double> standing, List<Word> words, List<Wish> wishes) {
 
-		/** Nobody has named a limit. */
+		/** The state without any limit. */
 		public static final Snapshot NONE = new Snapshot(Map.of(), List.of(), List.of());
 
 		/**
-		 * Returns the own parts of all limits.
+		 * Returns the sum of the shares that this process holds.
 		 * @return requests per second
 		 */
 		public double grantedPerSecond() {
@@ -196,30 +201,30 @@
 	}
 
 	/**
-	 * A server's word on its limit.
+	 * The latest known announcement of a server's limit.
 	 *
-	 * @param run which life of the server it is
-	 * @param word the word
+	 * @param run the incarnation of the server
+	 * @param word the announced limit
 	 */
 	public record Word(BackendRun run, LimitWord word) {
 
 	}
 
 	/**
-	 * What is wanted of a server's rate.
+	 * The demand of a process for a share of a server's rate.
 	 *
-	 * @param run which life of the server it is
-	 * @param wish what is wanted
+	 * @param run the incarnation of the server
+	 * @param wish the demand
 	 */
 	public record Wish(BackendRun run, RateWish wish) {
 
 	}
 
 	/**
-	 * A part of a server's rate.
+	 * A granted share of a server's rate.
 	 *
-	 * @param run which life of the server it is
-	 * @param grant the part
+	 * @param run the incarnation of the server
+	 * @param grant the share
 	 */
 	public record Grant(BackendRun run, RateGrant grant) {
 
--- a/gateway/src/main/java/org/snowwind/gateway/backend/StartTime.java
+++ b/gateway/src/main/java/org/snowwind/gateway/backend/StartTime.java
@@ -1,14 +1,17 @@
 package org.snowwind.gateway.backend;
 
 /**
- * Learns how long answers take to begin. Confined to the loop.
+ * Estimates how long answers take to begin. Confined to the event loop.
  */
 final class StartTime {
 
-	/** The part of a new answer in the means, as is usual for round trips. */
-	private static final double SHARE = 0.125;
+	/**
+	 * The weight of a new answer in the moving averages, the usual value for round-trip
+	 * times.
+	 */
+	private static final double WEIGHT = 0.125;
 
-	/** How many mean deviations above the mean nearly all answers begin. */
+	/** The upper bound for nearly all answers, in mean deviations above the mean. */
 	private static final double DEVIATIONS = 2;
 
 	private double meanMillis;
@@ -16,24 +19,24 @@
 	private double deviationMillis;
 
 	/**
-	 * Takes note that an answer has begun.
-	 * @param tookMillis how long after it was sent, in milliseconds
+	 * Records that an answer has begun.
+	 * @param tookMillis how long after the request was sent, in milliseconds
 	 */
-	void began(long tookMillis) {
+	void observe(long tookMillis) {
 		if (this.meanMillis == 0) {
 			this.meanMillis = tookMillis;
 			this.deviationMillis = tookMillis / 2.0;
 			return;
 		}
-		this.deviationMillis += SHARE * (Math.abs(tookMillis - this.meanMillis) - this.deviationMillis);
-		this.meanMillis += SHARE * (tookMillis - this.meanMillis);
+		this.deviationMillis += WEIGHT * (Math.abs(tookMillis - this.meanMillis) - this.deviationMillis);
+		this.meanMillis += WEIGHT * (tookMillis - this.meanMillis);
 	}
 
 	/**
-	 * Returns within which time nearly all answers begin.
-	 * @return the time, in milliseconds; 0 before any has begun
+	 * Returns the time within which nearly all answers begin.
+	 * @return the time, in milliseconds; 0 before the first answer
 	 */
-	long nearlyAllMillis() {
+	long upperBoundMillis() {
 		return Math.round(this.meanMillis + DEVIATIONS * this.deviationMillis);
 	}
 
--- a/gateway/src/main/java/org/snowwind/gateway/backend/Wanted.java
+++ b/gateway/src/main/java/org/snowwind/gateway/backend/Wanted.java
@@ -5,23 +5,25 @@
 import org.snowwind.gateway.table.EngineProfile;
 
 /**
- * What kind of server a request needs.
+ * The requirements of a request for a server.
  *
  * @param service the service's name
- * @param tried ids of servers that are not wanted
- * @param mayWait how many requests may wait at a server beyond those that run
- * @param engine how fast the engines of the service are; {@code null} for a plain service
- * @param pauseTargetMillis the longest pause between events that is on time, in
- * milliseconds
+ * @param tried ids of servers that are excluded, since they were tried
+ * @param maxQueuedAtServer how many requests may queue at a server beyond those that run
+ * @param engine the performance of the service's engines; {@code null} for a plain
+ * service
+ * @param pauseTargetMillis the maximum pause between events that is on time, in
+ * milliseconds; 0 if there is no target
  */
-public record Wanted(String service, Set<String> tried, int mayWait, EngineProfile engine, long pauseTargetMillis) {
+public record Wanted(String service, Set<String> tried, int maxQueuedAtServer, EngineProfile engine,
+		long pauseTargetMillis) {
 
 	/**
-	 * Returns the same need, whichever servers were tried.
-	 * @return a new need
+	 * Returns the same requirements without excluded servers.
+	 * @return new requirements
 	 */
-	public Wanted anyServer() {
-		return new Wanted(this.service, Set.of(), this.mayWait, this.engine, this.pauseTargetMillis);
+	public Wanted withoutExclusions() {
+		return new Wanted(this.service, Set.of(), this.maxQueuedAtServer, this.engine, this.pauseTargetMillis);
 	}
 
 }
--- a/gateway/src/main/java/org/snowwind/gateway/backend/package-info.java
+++ b/gateway/src/main/java/org/snowwind/gateway/backend/package-info.java
@@ -1,12 +1,13 @@
 /**
- * Backend servers as this process sees them, and the decisions which request goes to
- * which of them.
+ * The state of backend servers as known to this process, and the decisions which request
+ * is sent to which server.
  *
  * <p>
  * {@link org.snowwind.gateway.backend.Admission} decides whether a request is sent, waits
- * or is turned away; a {@code GroupLimit} how full a group of ranks may be; a
- * {@code ServerPick} which server of those with room. None of them does any I/O. The load
- * that each answers, and why its thresholds are what they are, stands at its head;
- * {@code LoadModel} among the tests plays load through all of them.
+ * or is rejected. A {@code GroupLimit} decides how many requests a group of ranks may
+ * have. A {@code ServerPick} selects one of the servers with free capacity. None of them
+ * does any I/O. Their class comments describe the load situations that they handle and
+ * the reasons for their thresholds. {@code LoadModel} in the tests simulates load on all
+ * of them.
  */
 package org.snowwind.gateway.backend;
--- a/gateway/src/main/java/org/snowwind/gateway/limit/LimitDuty.java
+++ b/gateway/src/main/java/org/snowwind/gateway/limit/LimitDuty.java
@@ -23,40 +23,52 @@
 import org.snowwind.wire.generated.LimitRequest;
 
 /**
- * Sees to it that all gateways together send a limited server no more than it takes.
+ * Ensures that all gateways together send a limited server no more requests than its
+ * limit allows.
  *
  * <p>
- * For each limited server one gateway sees to the sum, the same one in the view of all;
- * it gives parts of the rate to those that can use them. All others ask it for theirs
- * again and again, and send nothing without one.
+ * For each limited server one gateway is the coordinator. Gateways that know the same
+ * live gateways choose the same one by rendezvous hashing. The coordinator divides the
+ * server's rate among the gateways that can use it. Each gateway requests its shares
+ * periodically and sends nothing to a limited server without a share.
  */
 public final class LimitDuty implements AutoCloseable {
 
-	/** The shortest time between two requests to one gateway, in milliseconds. */
-	private static final long LEAST_PERIOD_MILLIS = 100;
+	/** The minimum time between two requests to one gateway, in milliseconds. */
+	private static final long MIN_PERIOD_MILLIS = 100;
 
 	/**
-	 * The same for each peer and for each limited server, so that what one gateway is
-	 * asked stays bounded: 200 requests a second, and 500 parts of rates.
+	 * The increase of the period for each peer, in milliseconds. It limits the requests
+	 * that one gateway receives to 200 per second.
 	 */
 	private static final long PERIOD_PER_PEER_MILLIS = 5;
 
+	/**
+	 * The increase of the period for each limited server, in milliseconds. It limits the
+	 * shares that are requested from one gateway to 500 per second.
+	 */
 	private static final long PERIOD_PER_SERVER_MILLIS = 2;
 
-	/** A part outlasts so many requests of which the answer is lost. */
+	/** The number of consecutive requests with a lost response that a lease outlasts. */
 	private static final int LEASE_PERIODS = 4;
 
-	/** And a pause of the process that asks, in milliseconds. */
+	/**
+	 * The extra length of a lease, so that it also outlasts a pause of the process that
+	 * requested it, in milliseconds.
+	 */
 	private static final long LEASE_SLACK_MILLIS = 500;
 
-	/** However many servers a gateway asks for, in milliseconds. */
-	private static final long MOST_LEASE_MILLIS = 30_000;
+	/**
+	 * The maximum length of a lease, however many servers a gateway requests shares of,
+	 * in milliseconds.
+	 */
+	private static final long MAX_LEASE_MILLIS = 30_000;
 
-	private static final long CALL_MILLIS = 800;
+	private static final long CALL_TIMEOUT_MILLIS = 800;
 
 	private static final long TICK_MILLIS = 50;
 
-	private static final int SMALL_RING = 16;
+	private static final int RING_SIZE = 16;
 
 	private final String name;
 
@@ -74,64 +86,64 @@
 
 	private long nextRoundMillis = Long.MIN_VALUE;
 
-	private volatile Seats seats = new Seats(Set.of(), "");
+	private volatile Coordinators coordinators = new Coordinators(Set.of(), "");
 
 	/**
-	 * Creates a duty that asks nobody yet.
+	 * Creates a duty that does not request shares until it is started.
 	 * @param name the name of this gateway
-	 * @param local tells of this gateway and takes its parts
-	 * @param calls carries requests
-	 * @param clock tells the time
+	 * @param local the state of this gateway and the receiver of its shares
+	 * @param calls creates links to other gateways
+	 * @param clock the clock
 	 */
 	public LimitDuty(String name, Local local, ThriftCalls calls, MonotonicClock clock) {
 		this.name = name;
 		this.local = local;
 		this.calls = calls;
 		this.clock = clock;
-		this.thread = new DutyThread("limits", SMALL_RING, TICK_MILLIS, this::round);
+		this.thread = new DutyThread("limits", RING_SIZE, TICK_MILLIS, this::runRound);
 	}
 
 	/**
-	 * Begins to ask for parts of the rates of limited servers.
+	 * Starts to request shares of the rates of limited servers.
 	 */
 	public void start() {
 		this.thread.start();
 	}
 
 	/**
-	 * Gives another gateway its parts.
-	 * @param request what it wants
-	 * @return its parts
+	 * Grants shares to another gateway.
+	 * @param request the request of that gateway
+	 * @return its shares, in the order of the request
 	 */
 	public List<LimitGrant> requested(LimitRequest request) {
-		List<Wish> wishes = request.getWishes().stream().map(LimitMessages::wish).toList();
-		long leaseMillis = Math.max(LEASE_SLACK_MILLIS, Math.min(MOST_LEASE_MILLIS, request.getLeaseMillis()));
-		return grant(request.getGateway(), wishes, leaseMillis).stream().map(LimitMessages::message).toList();
+		List<Wish> wishes = request.getWishes().stream().map(LimitMessages::toWish).toList();
+		long leaseMillis = Math.max(LEASE_SLACK_MILLIS, Math.min(MAX_LEASE_MILLIS, request.getLeaseMillis()));
+		return grant(request.getGateway(), wishes, leaseMillis).stream().map(LimitMessages::toMessage).toList();
 	}
 
 	private List<Grant> grant(String process, List<Wish> wishes, long leaseMillis) {
-		Seats now = seatsNow();
-		return this.ledgers.grant(process, wishes, (server) -> now.of(server).equals(this.name), leaseMillis,
-				this.clock.nowMillis());
+		Coordinators current = currentCoordinators();
+		return this.ledgers.grant(process, wishes, (server) -> current.coordinatorOf(server).equals(this.name),
+				leaseMillis, this.clock.nowMillis());
 	}
 
-	private Seats seatsNow() {
+	private Coordinators currentCoordinators() {
 		Set<String> peers = this.local.peers().get().keySet();
-		String own = this.local.leaving().getAsBoolean() ? "" : this.name;
-		Seats standing = this.seats;
-		if (!standing.sameAs(peers, own)) {
-			standing = new Seats(peers, own);
-			this.seats = standing;
+		String ownName = this.local.leaving().getAsBoolean() ? "" : this.name;
+		Coordinators current = this.coordinators;
+		if (!current.matches(peers, ownName)) {
+			current = new Coordinators(peers, ownName);
+			this.coordinators = current;
 		}
-		return standing;
+		return current;
 	}
 
 	private long periodMillis(int servers) {
-		return LEAST_PERIOD_MILLIS + PERIOD_PER_PEER_MILLIS * this.local.peers().get().size()
+		return MIN_PERIOD_MILLIS + PERIOD_PER_PEER_MILLIS * this.local.peers().get().size()
 				+ PERIOD_PER_SERVER_MILLIS * servers;
 	}
 
-	private void round() {
+	private void runRound() {
 		long nowMillis = this.clock.nowMillis();
 		List<Wish> wishes = this.local.wishes().get();
 		if (nowMillis < this.nextRoundMillis || wishes.isEmpty()) {
@@ -140,48 +152,49 @@
 		long periodMillis = periodMillis(wishes.size());
 		this.nextRoundMillis = nowMillis + periodMillis;
 		long leaseMillis = LEASE_PERIODS * periodMillis + LEASE_SLACK_MILLIS;
-		Seats now = seatsNow();
-		Map<String, List<Wish>> bySeat = new HashMap<>();
-		wishes
-			.forEach((wish) -> bySeat.computeIfAbsent(now.of(wish.run().id()), (seat) -> new ArrayList<>()).add(wish));
-		bySeat.forEach((seat, ofSeat) -> ask(seat, ofSeat, leaseMillis));
-		this.ledgers.forget(nowMillis);
-		closeUnused();
+		Coordinators current = currentCoordinators();
+		Map<String, List<Wish>> byCoordinator = new HashMap<>();
+		wishes.forEach((wish) -> byCoordinator
+			.computeIfAbsent(current.coordinatorOf(wish.run().id()), (coordinator) -> new ArrayList<>())
+			.add(wish));
+		byCoordinator.forEach((coordinator, assigned) -> requestGrants(coordinator, assigned, leaseMillis));
+		this.ledgers.removeUnused(nowMillis);
+		closeUnusedLinks();
 	}
 
-	private void ask(String seat, List<Wish> wishes, long leaseMillis) {
+	private void requestGrants(String coordinator, List<Wish> wishes, long leaseMillis) {
 		long askedMillis = this.clock.nowMillis();
-		if (seat.equals(this.name)) {
+		if (coordinator.equals(this.name)) {
 			this.local.grants().take(grant(this.name, wishes, leaseMillis), askedMillis);
 			return;
 		}
-		Optional<ThriftLink<GatewayControl.AsyncClient>> link = linkTo(seat);
-		LimitRequest request = new LimitRequest(this.name, wishes.stream().map(LimitMessages::message).toList(),
+		Optional<ThriftLink<GatewayControl.AsyncClient>> link = linkTo(coordinator);
+		LimitRequest request = new LimitRequest(this.name, wishes.stream().map(LimitMessages::toMessage).toList(),
 				leaseMillis);
-		link.ifPresent((to) -> to.<List<LimitGrant>>call((client, callback) -> client.requestGrants(request, callback),
-				new Reply<>() {
-					@Override
-					public void received(List<LimitGrant> grants) {
-						LimitDuty.this.local.grants()
-							.take(grants.stream().map(LimitMessages::grant).toList(), askedMillis);
-					}
-
-					@Override
-					public void failed(Exception cause) {
-						// The parts that are held lapse; the next round asks again.
-					}
-				}));
+		link.ifPresent((target) -> target
+			.<List<LimitGrant>>call((client, callback) -> client.requestGrants(request, callback), new Reply<>() {
+				@Override
+				public void received(List<LimitGrant> grants) {
+					LimitDuty.this.local.grants()
+						.take(grants.stream().map(LimitMessages::toGrant).toList(), askedMillis);
+				}
+
+				@Override
+				public void failed(Exception cause) {
+					// The leases held by this gateway expire; the next round retries.
+				}
+			}));
 	}
 
-	private Optional<ThriftLink<GatewayControl.AsyncClient>> linkTo(String seat) {
-		return Optional.ofNullable(this.local.peers().get().get(seat))
+	private Optional<ThriftLink<GatewayControl.AsyncClient>> linkTo(String coordinator) {
+		return Optional.ofNullable(this.local.peers().get().get(coordinator))
 			.flatMap(Addresses::parse)
-			.map((address) -> this.links.computeIfAbsent(seat,
-					(key) -> this.calls.link(address, GatewayControl.AsyncClient::new, CALL_MILLIS)));
+			.map((address) -> this.links.computeIfAbsent(coordinator,
+					(key) -> this.calls.link(address, GatewayControl.AsyncClient::new, CALL_TIMEOUT_MILLIS)));
 	}
 
-	// A gateway that comes back under its name may have another address.
-	private void closeUnused() {
+	// A gateway that comes back under the same name may have another address.
+	private void closeUnusedLinks() {
 		Set<String> live = this.local.peers().get().keySet();
 		this.links.entrySet().removeIf((link) -> {
 			boolean gone = !live.contains(link.getKey());
@@ -199,12 +212,12 @@
 	}
 
 	/**
-	 * What this gateway tells of itself.
+	 * The state of this gateway and the receiver of its shares.
 	 *
-	 * @param peers the control addresses of other gateways that live, by their names
-	 * @param leaving whether this gateway stops
-	 * @param wishes what it wants of the rates of limited servers
-	 * @param grants takes the parts that it gets
+	 * @param peers the control addresses of the other live gateways, by name
+	 * @param leaving whether this gateway is stopping
+	 * @param wishes the demand of this gateway for the rates of limited servers
+	 * @param grants receives the shares that are granted to this gateway
 	 */
 	public record Local(Supplier<Map<String, String>> peers, BooleanSupplier leaving, Supplier<List<Wish>> wishes,
 			Grants grants) {
@@ -212,50 +225,53 @@
 	}
 
 	/**
-	 * Takes parts of rates.
+	 * Receives granted shares of rates.
 	 */
 	@FunctionalInterface
 	public interface Grants {
 
 		/**
-		 * Takes parts of rates.
-		 * @param grants the parts
-		 * @param askedMillis when they were asked for, in milliseconds
+		 * Applies granted shares of rates.
+		 * @param grants the shares
+		 * @param askedMillis when they were requested, in milliseconds
 		 */
 		void take(List<Grant> grants, long askedMillis);
 
 	}
 
 	/**
-	 * Who sees to which server's sum, as long as the same gateways live.
+	 * The coordinator of each server for one set of live gateways.
 	 */
-	private static final class Seats {
+	private static final class Coordinators {
 
 		private final Set<String> peers;
 
-		private final String own;
+		private final String ownName;
 
-		private final List<String> all;
+		private final List<String> candidates;
 
-		private final Map<String, String> byServer = new HashMap<>();
+		private final Map<String, String> coordinatorByServer = new HashMap<>();
 
-		private Seats(Set<String> peers, String own) {
+		private Coordinators(Set<String> peers, String ownName) {
 			this.peers = peers;
-			this.own = own;
-			this.all = new ArrayList<>(peers);
-			if (!own.isEmpty()) {
-				this.all.add(own);
+			this.ownName = ownName;
+			this.candidates = new ArrayList<>(peers);
+			if (!ownName.isEmpty()) {
+				this.candidates.add(ownName);
 			}
 		}
 
-		private boolean sameAs(Set<String> otherPeers, String otherOwn) {
-			return this.own.equals(otherOwn) && this.peers.equals(otherPeers);
+		private boolean matches(Set<String> otherPeers, String otherOwnName) {
+			return this.ownName.equals(otherOwnName) && this.peers.equals(otherPeers);
 		}
 
-		// The empty name, of nobody, where no gateway is left.
-		private synchronized String of(String server) {
-			return this.byServer.computeIfAbsent(server,
-					(id) -> Rendezvous.first(this.all, (gateway) -> gateway, id, 1).stream().findFirst().orElse(""));
+		// Returns the empty name if no gateway is left.
+		private synchronized String coordinatorOf(String server) {
+			return this.coordinatorByServer.computeIfAbsent(server,
+					(id) -> Rendezvous.first(this.candidates, (gateway) -> gateway, id, 1)
+						.stream()
+						.findFirst()
+						.orElse(""));
 		}
 
 	}
--- a/gateway/src/main/java/org/snowwind/gateway/limit/LimitLedgers.java
+++ b/gateway/src/main/java/org/snowwind/gateway/limit/LimitLedgers.java
@@ -12,39 +12,39 @@
 import org.snowwind.gateway.registry.BackendRun;
 
 /**
- * The parts of the rates of all servers to whose sums this process sees. Safe for use by
- * several threads.
+ * The granted shares of the rates of all servers that this process coordinates.
+ * Thread-safe.
  */
 final class LimitLedgers {
 
 	private final Map<BackendRun, LimitLedger> byRun = new HashMap<>();
 
 	/**
-	 * Gives a process its parts.
-	 * @param process its name
-	 * @param wishes what it wants
-	 * @param mine tells whether this process takes itself for the one that sees to the
-	 * sum of a server's rate
-	 * @param leaseMillis for how long parts stand, in milliseconds
+	 * Grants shares to a process.
+	 * @param process the name of the process
+	 * @param wishes the demand of the process for each server's rate
+	 * @param isCoordinator tests whether this process considers itself the coordinator of
+	 * the server with a given id
+	 * @param leaseMillis how long the shares are valid, in milliseconds
 	 * @param nowMillis the time, in milliseconds
-	 * @return the parts, in the order of the wishes
+	 * @return the shares, in the order of the wishes
 	 */
-	synchronized List<Grant> grant(String process, List<Wish> wishes, Predicate<String> mine, long leaseMillis,
+	synchronized List<Grant> grant(String process, List<Wish> wishes, Predicate<String> isCoordinator, long leaseMillis,
 			long nowMillis) {
 		List<Grant> grants = new ArrayList<>();
 		for (Wish wish : wishes) {
 			LimitLedger ledger = this.byRun.computeIfAbsent(wish.run(), (run) -> new LimitLedger());
 			grants.add(new Grant(wish.run(),
-					ledger.grant(process, wish.wish(), mine.test(wish.run().id()), leaseMillis, nowMillis)));
+					ledger.grant(process, wish.wish(), isCoordinator.test(wish.run().id()), leaseMillis, nowMillis)));
 		}
 		return grants;
 	}
 
 	/**
-	 * Forgets servers of whose rate nobody has a part.
+	 * Removes the ledgers of servers for which no process holds a share.
 	 * @param nowMillis the time, in milliseconds
 	 */
-	synchronized void forget(long nowMillis) {
+	synchronized void removeUnused(long nowMillis) {
 		this.byRun.values().removeIf((ledger) -> ledger.forget(nowMillis));
 	}
 
--- a/gateway/src/main/java/org/snowwind/gateway/limit/LimitMessages.java
+++ b/gateway/src/main/java/org/snowwind/gateway/limit/LimitMessages.java
@@ -14,7 +14,7 @@
 import org.snowwind.wire.generated.LimitWish;
 
 /**
- * Turns what gateways tell each other of limits into messages and back.
+ * Converts what gateways exchange about limits to and from wire messages.
  */
 public final class LimitMessages {
 
@@ -22,50 +22,51 @@
 	}
 
 	/**
-	 * Makes news of words.
-	 * @param words the words
+	 * Converts announcements of limits to messages. A message carries the age of an
+	 * announcement, since the clocks of processes differ.
+	 * @param announcements the announcements
 	 * @param nowMillis the time, in milliseconds
-	 * @return the news
+	 * @return the messages
 	 */
-	public static List<LimitNews> news(List<Word> words, long nowMillis) {
-		return words.stream()
-			.map((word) -> new LimitNews(word.run().id(), word.run().bornMillis(), word.word().perSecond(),
-					nowMillis - word.word().atMillis()))
+	public static List<LimitNews> news(List<Word> announcements, long nowMillis) {
+		return announcements.stream()
+			.map((announcement) -> new LimitNews(announcement.run().id(), announcement.run().bornMillis(),
+					announcement.word().perSecond(), nowMillis - announcement.word().atMillis()))
 			.toList();
 	}
 
 	/**
-	 * Reads news. Clocks of processes differ, so that news say how old they are.
-	 * @param news the news
-	 * @param nowMillis the time by the own clock, in milliseconds
-	 * @return the words
+	 * Converts messages to announcements of limits, with times by the local clock.
+	 * @param messages the messages
+	 * @param nowMillis the time by the local clock, in milliseconds
+	 * @return the announcements
 	 */
-	public static List<Word> words(List<LimitNews> news, long nowMillis) {
-		return news.stream()
-			.map((one) -> new Word(new BackendRun(one.getServer(), one.getBornMillis()),
-					new LimitWord(one.getPerSecond(), nowMillis - Math.max(0, one.getAgeMillis()))))
+	public static List<Word> words(List<LimitNews> messages, long nowMillis) {
+		return messages.stream()
+			.map((message) -> new Word(new BackendRun(message.getServer(), message.getBornMillis()),
+					new LimitWord(message.getPerSecond(), nowMillis - Math.max(0, message.getAgeMillis()))))
 			.toList();
 	}
 
-	static LimitWish message(Wish wish) {
+	static LimitWish toMessage(Wish wish) {
 		RateWish rate = wish.wish();
 		return new LimitWish(wish.run().id(), wish.run().bornMillis(), rate.limitPerSecond(), rate.wantedPerSecond(),
 				rate.heldPerSecond(), rate.waiting());
 	}
 
-	static Wish wish(LimitWish message) {
+	static Wish toWish(LimitWish message) {
 		return new Wish(new BackendRun(message.getServer(), message.getBornMillis()),
 				new RateWish(message.getLimitPerSecond(), message.getWantedPerSecond(), message.getHeldPerSecond(),
 						message.getWaiting()));
 	}
 
-	static LimitGrant message(Grant grant) {
+	static LimitGrant toMessage(Grant grant) {
 		RateGrant rate = grant.grant();
 		return new LimitGrant(grant.run().id(), grant.run().bornMillis(), rate.limitPerSecond(), rate.perSecond(),
 				rate.burst(), rate.singles(), rate.validMillis());
 	}
 
-	static Grant grant(LimitGrant message) {
+	static Grant toGrant(LimitGrant message) {
 		return new Grant(new BackendRun(message.getServer(), message.getBornMillis()),
 				new RateGrant(message.getLimitPerSecond(), message.getPerSecond(), message.getBurst(),
 						message.getSingles(), message.getValidMillis()));
--- a/gateway/src/main/java/org/snowwind/gateway/limit/ServerCalls.java
+++ b/gateway/src/main/java/org/snowwind/gateway/limit/ServerCalls.java
@@ -12,22 +12,23 @@
 import org.snowwind.model.MonotonicClock;
 
 /**
- * The gate for what this process sends to servers beside the requests of callers:
- * reports, counts and orders. Safe for use by several threads.
+ * Limits the calls that this process makes to servers in addition to the requests of
+ * callers: for reports, counts and orders. Thread-safe.
  *
  * <p>
- * A server counts them like requests. Only one process asks and orders the ranks of a
- * group, so that it can keep bounds alone.
+ * A server counts these calls like requests. Only one process queries and commands the
+ * ranks of a group, so it can enforce the bounds without the other processes.
  */
 public final class ServerCalls {
 
 	/**
-	 * A server that backs off bears so many calls all the same. They are left to orders
-	 * that complete a switch: its group makes no pass until they arrive.
+	 * The maximum number of calls that a server is sent while it backs off. They are
+	 * reserved for orders that complete a switch, since the server's group makes no pass
+	 * until these orders arrive.
 	 */
 	private static final int COMPLETIONS_IN_BACKOFF = 2;
 
-	private final Counter made;
+	private final Counter callCounter;
 
 	private final Restrictions restrictions;
 
@@ -37,47 +38,47 @@
 
 	private final Map<String, CallAllowance> allowances = new HashMap<>();
 
-	private final Map<String, Integer> completions = new HashMap<>();
+	private final Map<String, Integer> completionsInBackoff = new HashMap<>();
 
 	/**
-	 * Creates a count of nothing.
-	 * @param registry where it is registered
-	 * @param restrictions what servers have announced
-	 * @param notices is told what responses announce
-	 * @param clock tells the time
+	 * Creates an instance that has counted no calls.
+	 * @param registry where the counter of calls is registered
+	 * @param restrictions the active limits and backoffs of servers
+	 * @param notices receives what responses announce
+	 * @param clock the clock
 	 */
 	public ServerCalls(MeterRegistry registry, Restrictions restrictions, NoticeListener notices,
 			MonotonicClock clock) {
-		this.made = Counter.builder("snowwind.gateway.server.calls").register(registry);
+		this.callCounter = Counter.builder("snowwind.gateway.server.calls").register(registry);
 		this.restrictions = restrictions;
 		this.notices = notices;
 		this.clock = clock;
 	}
 
 	/**
-	 * Acquires a call that is sent at once.
+	 * Acquires permission for a call that is sent immediately.
 	 * @param server the server's id
-	 * @return false if the server backs off, so that nothing may be sent
+	 * @return false if the server backs off, so that the call must not be sent
 	 */
 	public synchronized boolean acquire(String server) {
 		if (isBackingOff(server)) {
 			return false;
 		}
-		this.completions.remove(server);
+		this.completionsInBackoff.remove(server);
 		count(server);
 		return true;
 	}
 
 	/**
-	 * Acquires an order without which a switch that has begun cannot end.
+	 * Acquires permission for an order that a switch in progress needs to complete.
 	 * @param server the server's id
-	 * @return false if the server backs off and has got all that it bears
+	 * @return false if the server backs off and the calls reserved for orders are used up
 	 */
 	public synchronized boolean acquireCompletion(String server) {
 		if (!isBackingOff(server)) {
 			return acquire(server);
 		}
-		if (this.completions.merge(server, 1, Integer::sum) > COMPLETIONS_IN_BACKOFF) {
+		if (this.completionsInBackoff.merge(server, 1, Integer::sum) > COMPLETIONS_IN_BACKOFF) {
 			return false;
 		}
 		count(server);
@@ -85,7 +86,7 @@
 	}
 
 	private void count(String server) {
-		this.made.increment();
+		this.callCounter.increment();
 		this.allowances.keySet().retainAll(limits().keySet());
 		if (limits().containsKey(server)) {
 			allowance(server).made(this.clock.nowMillis());
@@ -93,19 +94,21 @@
 	}
 
 	/**
-	 * Tells whether a server is spared while another can tell the same.
+	 * Returns whether a server is to be spared while another server can give the same
+	 * answer.
 	 * @param server the server's id
-	 * @return true if it names a limit or backs off
+	 * @return true if the server has a limit or backs off
 	 */
 	public boolean isRestricted(String server) {
 		return limits().containsKey(server) || isBackingOff(server);
 	}
 
 	/**
-	 * Tells whether a server may be sent more.
+	 * Returns whether a server may be sent a number of further calls.
 	 * @param server the server's id
-	 * @param calls how many calls
-	 * @return true if it does not back off, and takes any rate or that many more
+	 * @param calls the number of calls
+	 * @return true if the server does not back off, and its limit, if any, leaves room
+	 * for that many calls
 	 */
 	public synchronized boolean allows(String server, int calls) {
 		Double limit = limits().get(server);
@@ -129,7 +132,7 @@
 	/**
 	 * Records the head of a response.
 	 * @param run the incarnation that was called
-	 * @param notice what the head says
+	 * @param notice what the head announces
 	 * @param sentMillis when the call was sent, see {@link #nowMillis()}
 	 */
 	public void onResponseHead(BackendRun run, ServerNotice notice, long sentMillis) {
@@ -139,7 +142,7 @@
 	}
 
 	/**
-	 * Returns the time by the clock of the notices.
+	 * Returns the time by the clock that notices are dated with.
 	 * @return the time, in milliseconds
 	 */
 	public long nowMillis() {
@@ -147,23 +150,24 @@
 	}
 
 	/**
-	 * What servers have announced, as other threads see it.
+	 * The limits and backoffs that servers have announced, published for other threads.
 	 *
 	 * @param limits the limits that are active, in requests per second by the server's id
-	 * @param backoffs until when servers back off, in milliseconds by the server's id
+	 * @param backoffs when the backoffs of servers end, in milliseconds by the server's
+	 * id
 	 */
 	public record Restrictions(Supplier<Map<String, Double>> limits, Supplier<Map<String, Long>> backoffs) {
 
 	}
 
 	/**
-	 * Is told what responses announce.
+	 * Receives what responses announce.
 	 */
 	@FunctionalInterface
 	public interface NoticeListener {
 
 		/**
-		 * A response announces something.
+		 * Handles an announcement in a response.
 		 * @param run the incarnation that was called
 		 * @param notice what it announces
 		 * @param sentMillis when the call was sent, in milliseconds
--- a/gateway/src/main/java/org/snowwind/gateway/limit/package-info.java
+++ b/gateway/src/main/java/org/snowwind/gateway/limit/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Keeps the rates that servers take from all gateways together.
+ * Enforces the limits that servers set on their total request rate from all gateways.
  */
 package org.snowwind.gateway.limit;
--- a/gateway/src/test/java/org/snowwind/gateway/backend/AdmissionTests.java
+++ b/gateway/src/test/java/org/snowwind/gateway/backend/AdmissionTests.java
@@ -37,7 +37,7 @@
 	private final Admission admission = new Admission(this.table, this.clock);
 
 	@BeforeEach
-	void oneRank() {
+	void registerOneRank() {
 		this.table.use(new Registry(1,
 				Map.of("r", new BackendEntry("r", BackendRun.UNKNOWN, "s", "10.0.0.1", 80, "dc", 2, false))));
 		this.table.grouped(BackendRun.of("r"), "g");
@@ -57,34 +57,34 @@
 	}
 
 	@Test
-	void aRequestIsSentWhereThereIsRoom() {
+	void requestIsSentToServerWithRoom() {
 		assertThat(decide(10_000)).isEqualTo(new Admission.Verdict.Send(rank()));
 	}
 
 	@Test
-	void aRequestThatCanStillBeginOnTimeWaits() {
+	void requestThatCanStillBeginOnTimeWaits() {
 		fill();
 		assertThat(decide(9_600)).isInstanceOf(Admission.Verdict.Wait.class);
 	}
 
 	@Test
-	void aRequestThatCannotBeginOnTimeIsTurnedAwayAtOnce() {
+	void requestThatCannotBeginOnTimeIsRejectedImmediately() {
 		fill();
 		this.admission.began("s", 100);
-		assertThat(decide(9_800)).as("100 ms and twice their deviation of 50 fit")
+		assertThat(decide(9_800)).as("the mean of 100 ms plus twice the deviation of 50 ms fits")
 			.isInstanceOf(Admission.Verdict.Wait.class);
 		assertThat(decide(9_700)).isEqualTo(new Admission.Verdict.Reject(false, 200, 0, 0));
 	}
 
 	@Test
-	void nobodyWaitsWhereAnswersBeginTooLateAnyway() {
+	void noRequestWaitsIfAnswersBeginTooLateAnyway() {
 		fill();
 		this.admission.began("s", 400);
 		assertThat(decide(10_000)).isEqualTo(new Admission.Verdict.Reject(false, 800, 0, 0));
 	}
 
 	@Test
-	void nobodyWaitsForAClosedGroup() {
+	void noRequestWaitsForClosedGroup() {
 		for (int i = 0; i < 3; i++) {
 			rank().sent(this.clock.nowMillis());
 			rank().refused(10_000);
@@ -92,21 +92,22 @@
 		assertThat(decide(10_000)).isEqualTo(new Admission.Verdict.Reject(true, 0, 0, 0));
 	}
 
-	private void limited(double perSecond) {
-		rank().limit().says(new NamedLimit.Rate(perSecond), true, this.clock.nowMillis(), this.clock.nowMillis());
+	private void setLimit(double perSecond) {
+		rank().limit()
+			.onResponseHead(new NamedLimit.Rate(perSecond), true, this.clock.nowMillis(), this.clock.nowMillis());
 	}
 
-	private void granted(double perSecond) {
+	private void grant(double perSecond) {
 		this.table.limits()
 			.granted(List.of(new SharedLimits.Grant(BackendRun.of("r"), new RateGrant(4, perSecond, 1, 0, 60_000))),
 					this.clock.nowMillis());
 	}
 
 	@Test
-	void aLimitedServerIsSentWhatWasGrantedAndNoMore() {
-		limited(4);
+	void limitedServerGetsWhatWasGrantedAndNoMore() {
+		setLimit(4);
 		assertThat(decide(10_000)).isInstanceOf(Admission.Verdict.Wait.class);
-		granted(4);
+		grant(4);
 		this.clock.advance(250);
 		assertThat(decide(10_250)).isEqualTo(new Admission.Verdict.Send(rank()));
 		rank().sent(this.clock.nowMillis());
@@ -114,36 +115,37 @@
 	}
 
 	@Test
-	void noMoreWaitForALimitedServerThanItIsSentInTime() {
-		limited(4);
-		granted(4);
+	void noMoreRequestsWaitForLimitedServerThanCanBeSentInTime() {
+		setLimit(4);
+		grant(4);
 		this.table.limits().waits("s", 1);
-		assertThat(decide(10_000)).as("two need 500 ms").isEqualTo(new Admission.Verdict.Reject(false, 0, 500, 0));
+		assertThat(decide(10_000)).as("two requests need 500 ms")
+			.isEqualTo(new Admission.Verdict.Reject(false, 0, 500, 0));
 		assertThat(decide(10_001)).isInstanceOf(Admission.Verdict.Wait.class);
 	}
 
 	@Test
-	void oneWaitsAtMostWhereNothingIsGranted() {
-		limited(4);
+	void atMostOneRequestWaitsWithoutGrant() {
+		setLimit(4);
 		assertThat(decide(10_000)).isInstanceOf(Admission.Verdict.Wait.class);
 		this.table.limits().waits("s", 1);
 		assertThat(decide(10_000)).isEqualTo(new Admission.Verdict.Reject(false, 0, Long.MAX_VALUE, 0));
 	}
 
 	@Test
-	void aLimitedServerThatRefusesDoesNotCloseItsGroup() {
-		limited(4);
+	void rejectionsOfLimitedServerDoNotCloseItsGroup() {
+		setLimit(4);
 		for (int i = 0; i < 3; i++) {
 			rank().sent(this.clock.nowMillis());
 			rank().refused(10_000);
 		}
-		assertThat(rank().group().closed()).isFalse();
-		assertThat(rank().trusted(10_000)).isTrue();
+		assertThat(rank().group().isClosed()).isFalse();
+		assertThat(rank().isTrusted(10_000)).isTrue();
 	}
 
 	@Test
-	void whatIsKnownOfALimitBelongsToOneLifeOfTheServer() {
-		limited(0);
+	void limitBelongsToOneIncarnationOfTheServer() {
+		setLimit(0);
 		this.table.use(new Registry(2, Map.of("r", new BackendEntry("r", 7, "s", "10.0.0.1", 80, "dc", 2, false))));
 		this.table.use(new Registry(3, Map.of("r", new BackendEntry("r", 8, "s", "10.0.0.1", 80, "dc", 2, false))));
 		assertThat(this.table.limits().snapshot().standing()).isEmpty();
@@ -151,7 +153,7 @@
 	}
 
 	@Test
-	void wordsOfPeersAreTakenAndPassedOn() {
+	void announcementsFromPeersAreAppliedAndForwarded() {
 		this.table.limits().heard(List.of(new SharedLimits.Word(BackendRun.of("r"), new LimitWord(3, 9_000))));
 		assertThat(this.table.limits().snapshot().standing()).isEqualTo(Map.of("r", 3.0));
 		assertThat(this.table.limits().snapshot().words())
@@ -162,24 +164,24 @@
 	}
 
 	@Test
-	void startTimesFollowWhatIsSeen() {
+	void startTimeFollowsObservations() {
 		StartTime time = new StartTime();
-		assertThat(time.nearlyAllMillis()).isZero();
+		assertThat(time.upperBoundMillis()).isZero();
 		for (int i = 0; i < 100; i++) {
-			time.began((i % 2 == 0) ? 80 : 120);
+			time.observe((i % 2 == 0) ? 80 : 120);
 		}
-		assertThat(time.nearlyAllMillis()).isBetween(130L, 150L);
+		assertThat(time.upperBoundMillis()).isBetween(130L, 150L);
 	}
 
-	private void twoServers() {
-		this.table.use(new Registry(2, Map.of("r", plain("r"), "q", plain("q"))));
+	private void registerTwoServers() {
+		this.table.use(new Registry(2, Map.of("r", plainServer("r"), "q", plainServer("q"))));
 	}
 
-	private static BackendEntry plain(String id) {
+	private static BackendEntry plainServer(String id) {
 		return new BackendEntry(id, BackendRun.UNKNOWN, "s", "10.0.0.1", 80, "dc", 2, false);
 	}
 
-	private void rejects(String id, long retryAfterMillis) {
+	private void reject(String id, long retryAfterMillis) {
 		Backend backend = this.table.find(id).orElseThrow();
 		long nowMillis = this.clock.nowMillis();
 		backend.sent(nowMillis);
@@ -188,63 +190,64 @@
 		backend.refused(nowMillis);
 	}
 
-	private Admission.Verdict decideTried(String... tried) {
+	private Admission.Verdict decideAfter(String... tried) {
 		return this.admission.decide(new Arrival("s", Set.of(tried), 0, null, TARGET_MILLIS, 0, 10_000, false));
 	}
 
 	@Test
 	void retryDoesNotFallBackToTriedServerThatBacksOff() {
-		twoServers();
-		rejects("r", 3000);
-		assertThat(decideTried("r", "q")).isEqualTo(new Admission.Verdict.Send(this.table.find("q").orElseThrow()));
-		assertThat(decideTried("q")).as("untried, but backing off").isInstanceOf(Admission.Verdict.Send.class);
+		registerTwoServers();
+		reject("r", 3000);
+		assertThat(decideAfter("r", "q")).isEqualTo(new Admission.Verdict.Send(this.table.find("q").orElseThrow()));
+		assertThat(decideAfter("q")).as("the untried server backs off").isInstanceOf(Admission.Verdict.Send.class);
 	}
 
 	@Test
 	void requestIsRejectedAtOnceIfNoServerReturnsInTime() {
-		twoServers();
-		rejects("r", 3000);
-		rejects("q", 2000);
-		assertThat(decideTried()).isEqualTo(new Admission.Verdict.Reject(true, 0, 0, 2000));
+		registerTwoServers();
+		reject("r", 3000);
+		reject("q", 2000);
+		assertThat(decideAfter()).isEqualTo(new Admission.Verdict.Reject(true, 0, 0, 2000));
 	}
 
 	@Test
 	void noMoreRequestsWaitThanServersReturnInTime() {
-		twoServers();
-		rejects("r", 3000);
-		rejects("q", 300);
-		assertThat(decideTried()).isInstanceOf(Admission.Verdict.Wait.class);
+		registerTwoServers();
+		reject("r", 3000);
+		reject("q", 300);
+		assertThat(decideAfter()).isInstanceOf(Admission.Verdict.Wait.class);
 		this.table.limits().waits("s", 1);
-		assertThat(decideTried()).isEqualTo(new Admission.Verdict.Reject(true, 0, 0, 300));
+		assertThat(decideAfter()).isEqualTo(new Admission.Verdict.Reject(true, 0, 0, 300));
 		this.clock.advance(300);
-		assertThat(decideTried()).isEqualTo(new Admission.Verdict.Send(this.table.find("q").orElseThrow()));
+		assertThat(decideAfter()).isEqualTo(new Admission.Verdict.Send(this.table.find("q").orElseThrow()));
 	}
 
 	@Test
 	void backoffOfRanksDoesNotCloseTheirGroup() {
 		for (int i = 0; i < 3; i++) {
-			rejects("r", 1000);
+			reject("r", 1000);
 		}
-		assertThat(rank().group().closed()).isFalse();
-		assertThat(rank().trusted(10_000)).as("nor is it a failure").isTrue();
+		assertThat(rank().group().isClosed()).isFalse();
+		assertThat(rank().isTrusted(10_000)).as("a backoff is not a failure").isTrue();
 	}
 
 	@Test
 	void backoffBelongsToOneIncarnationOfTheServer() {
-		rejects("r", 60_000);
+		reject("r", 60_000);
 		this.table.use(new Registry(2, Map.of("r", new BackendEntry("r", 7, "s", "10.0.0.1", 80, "dc", 2, false))));
-		assertThat(decide(10_000)).as("its start was only not known").isInstanceOf(Admission.Verdict.Reject.class);
+		assertThat(decide(10_000)).as("the same incarnation, whose start time was unknown before")
+			.isInstanceOf(Admission.Verdict.Reject.class);
 		this.table.use(new Registry(3, Map.of("r", new BackendEntry("r", 8, "s", "10.0.0.1", 80, "dc", 2, false))));
 		assertThat(decide(10_000)).isInstanceOf(Admission.Verdict.Send.class);
 	}
 
 	@Test
-	void serverThatAnnouncedItsDepartureIsNotChosenWhateverTheRegistrySays() {
-		twoServers();
+	void serverThatAnnouncedItsDepartureIsNotChosenDespiteItsRegistryEntry() {
+		registerTwoServers();
 		this.table.onResponseHead(rank(), new ServerNotice(NamedLimit.NONE, 0, true, ""),
 				new BackendNotices.Source("test", true, 10_000));
-		this.table.use(new Registry(3, Map.of("r", plain("r"), "q", plain("q"))));
-		assertThat(decideTried("q")).isEqualTo(new Admission.Verdict.Send(this.table.find("q").orElseThrow()));
+		this.table.use(new Registry(3, Map.of("r", plainServer("r"), "q", plainServer("q"))));
+		assertThat(decideAfter("q")).isEqualTo(new Admission.Verdict.Send(this.table.find("q").orElseThrow()));
 		assertThat(rank().takesNewWork()).isFalse();
 	}
 
--- a/gateway/src/test/java/org/snowwind/gateway/backend/GroupLoadTests.java
+++ b/gateway/src/test/java/org/snowwind/gateway/backend/GroupLoadTests.java
@@ -21,10 +21,10 @@
 
 	private final GroupLoad group = new GroupLoad("g");
 
-	private void passes(int load, long passMillis, int events, long nowMillis) {
-		this.group.count(8, load);
+	private void observePasses(int load, long passMillis, int events, long nowMillis) {
+		this.group.updateCounts(8, load);
 		for (int i = 0; i < events; i++) {
-			this.group.paused(passMillis, TARGET_MILLIS, PROFILE, nowMillis);
+			this.group.onPause(passMillis, TARGET_MILLIS, PROFILE, nowMillis);
 		}
 	}
 
@@ -33,100 +33,100 @@
 	}
 
 	@Test
-	void beforeAnythingIsSeenAllSlotsAreFilled() {
-		this.group.count(8, 0);
+	void allSlotsAreUsedBeforeFirstObservation() {
+		this.group.updateCounts(8, 0);
 		assertThat(limit(0)).isEqualTo(SLOTS);
 	}
 
 	@Test
-	void shortPassesLetAllSlotsBeFilled() {
-		passes(60, 60, 100, 10_000);
+	void allSlotsAreUsedWhilePassesAreShort() {
+		observePasses(60, 60, 100, 10_000);
 		assertThat(limit(10_000)).isEqualTo(SLOTS);
 	}
 
 	@Test
-	void longPassesCloseTheGroupEarlierButNeverBelowAboutHalf() {
-		passes(60, 100, 100, 10_000);
+	void longPassesLowerTheLimitButNotBelowHalfOfTheSlots() {
+		observePasses(60, 100, 100, 10_000);
 		assertThat(limit(10_000)).isLessThan(60).isGreaterThan(SLOTS / 2);
-		passes(60, 300, 200, 10_000);
+		observePasses(60, 300, 200, 10_000);
 		assertThat(limit(10_000)).isGreaterThan(SLOTS / 2);
 	}
 
 	@Test
-	void aStallSaysNothingOfTheLoad() {
-		passes(20, 60, 100, 10_000);
-		this.group.paused(1500, TARGET_MILLIS, PROFILE, 10_100);
+	void stallDoesNotChangePassTime() {
+		observePasses(20, 60, 100, 10_000);
+		this.group.onPause(1500, TARGET_MILLIS, PROFILE, 10_100);
 		assertThat(this.group.passMillis()).isBetween(59.0, 61.0);
 	}
 
 	@Test
-	void whatWasSeenLongAgoIsForgotten() {
-		passes(60, 119, 100, 10_000);
+	void staleObservationsAreIgnored() {
+		observePasses(60, 119, 100, 10_000);
 		assertThat(limit(10_000)).isLessThan(SLOTS);
 		assertThat(limit(13_000)).isEqualTo(SLOTS);
 	}
 
 	@Test
-	void severalRefusalsInARowCloseTheGroupForAWhile() {
-		this.group.refused(1000);
-		this.group.refused(1001);
-		assertThat(this.group.open(1001)).isTrue();
-		this.group.refused(1002);
-		assertThat(this.group.open(1002)).isFalse();
-		assertThat(this.group.open(2000)).isTrue();
+	void successiveRejectionsCloseTheGroupTemporarily() {
+		this.group.onRejection(1000);
+		this.group.onRejection(1001);
+		assertThat(this.group.accepts(1001)).isTrue();
+		this.group.onRejection(1002);
+		assertThat(this.group.accepts(1002)).isFalse();
+		assertThat(this.group.accepts(2000)).isTrue();
 	}
 
 	@Test
-	void anEventShowsThatTheGroupWorks() {
-		this.group.refused(1000);
-		this.group.refused(1001);
-		this.group.paused(60, TARGET_MILLIS, PROFILE, 1002);
-		this.group.refused(1003);
-		assertThat(this.group.open(1003)).isTrue();
+	void eventResetsTheCountOfRejections() {
+		this.group.onRejection(1000);
+		this.group.onRejection(1001);
+		this.group.onPause(60, TARGET_MILLIS, PROFILE, 1002);
+		this.group.onRejection(1003);
+		assertThat(this.group.accepts(1003)).isTrue();
 	}
 
 	@Test
-	void aClosedGroupIsAskedByOneRequestAtATime() {
-		closed(1000);
-		assertThat(this.group.open(2000)).isTrue();
+	void closedGroupGetsOneProbeAtATime() {
+		close(1000);
+		assertThat(this.group.accepts(2000)).isTrue();
 		this.group.sent();
-		assertThat(this.group.open(2001)).as("one asks").isFalse();
-		this.group.ended();
-		this.group.refused(2002);
-		assertThat(this.group.open(2003)).as("it was refused").isFalse();
-		assertThat(this.group.open(3000)).isTrue();
+		assertThat(this.group.accepts(2001)).as("a probe is in flight").isFalse();
+		this.group.onRequestEnd();
+		this.group.onRejection(2002);
+		assertThat(this.group.accepts(2003)).as("the probe was rejected").isFalse();
+		assertThat(this.group.accepts(3000)).isTrue();
 		this.group.sent();
 		this.group.streamBegan(3100);
-		assertThat(this.group.closed()).isFalse();
-		assertThat(this.group.open(3100)).isTrue();
+		assertThat(this.group.isClosed()).isFalse();
+		assertThat(this.group.accepts(3100)).isTrue();
 	}
 
 	@Test
-	void aGroupWhoseStreamsAreAllSilentGetsNothingNew() {
-		Wanted wanted = new Wanted("s", Set.of(), 0, PROFILE, TARGET_MILLIS);
-		this.group.count(8, 2);
+	void groupWithoutEventsOnAnyStreamGetsNoNewRequests() {
+		Wanted requirements = new Wanted("s", Set.of(), 0, PROFILE, TARGET_MILLIS);
+		this.group.updateCounts(8, 2);
 		this.group.streamBegan(1000);
-		assertThat(this.group.roomShare(wanted, 1400)).isPositive();
-		assertThat(this.group.roomShare(wanted, 1600)).isZero();
-		assertThat(this.group.closed()).isTrue();
-		this.group.paused(600, TARGET_MILLIS, PROFILE, 1610);
-		assertThat(this.group.roomShare(wanted, 1610)).isPositive();
+		assertThat(this.group.freeShare(requirements, 1400)).isPositive();
+		assertThat(this.group.freeShare(requirements, 1600)).isZero();
+		assertThat(this.group.isClosed()).isTrue();
+		this.group.onPause(600, TARGET_MILLIS, PROFILE, 1610);
+		assertThat(this.group.freeShare(requirements, 1610)).isPositive();
 	}
 
 	@Test
-	void aGroupWithoutStreamsIsNotStandingStill() {
-		Wanted wanted = new Wanted("s", Set.of(), 0, PROFILE, TARGET_MILLIS);
-		this.group.count(8, 0);
+	void groupWithoutStreamsIsNotStalled() {
+		Wanted requirements = new Wanted("s", Set.of(), 0, PROFILE, TARGET_MILLIS);
+		this.group.updateCounts(8, 0);
 		this.group.streamBegan(1000);
-		this.group.streamsLeft(1);
-		assertThat(this.group.roomShare(wanted, 60_000)).isPositive();
+		this.group.removeStreams(1);
+		assertThat(this.group.freeShare(requirements, 60_000)).isPositive();
 	}
 
-	private void closed(long nowMillis) {
+	private void close(long nowMillis) {
 		for (int i = 0; i < 3; i++) {
-			this.group.refused(nowMillis);
+			this.group.onRejection(nowMillis);
 		}
-		assertThat(this.group.closed()).isTrue();
+		assertThat(this.group.isClosed()).isTrue();
 	}
 
 }
--- a/gateway/src/test/java/org/snowwind/gateway/backend/LoadModel.java
+++ b/gateway/src/test/java/org/snowwind/gateway/backend/LoadModel.java
@@ -19,8 +19,8 @@
 import org.snowwind.model.ManualClock;
 
 /**
- * Plays the load of one group of ranks through the decisions of several gateways, which
- * hear of each other late, in virtual time.
+ * Simulates, in virtual time, the load of one group of ranks and the decisions of several
+ * gateways that receive delayed reports from each other.
  */
 final class LoadModel {
 
@@ -30,11 +30,11 @@
 
 	private static final int TICK_MILLIS = 1;
 
-	private static final int LOOK_MILLIS = 10;
+	private static final int RETRY_MILLIS = 10;
 
 	private static final int REPORT_MILLIS = 100;
 
-	/** How long a caller waits for the first event before it leaves. */
+	/** The time to the first event after which a caller counts as having left. */
 	private static final long PATIENCE_MILLIS = 2000;
 
 	private static final double MEAN_EVENTS = 24;
@@ -45,13 +45,13 @@
 
 	private final ManualClock clock = new ManualClock(100_000);
 
-	private final long beginMillis = this.clock.nowMillis();
+	private final long startMillis = this.clock.nowMillis();
 
 	private final Random random;
 
 	private final List<Gateway> gateways = new ArrayList<>();
 
-	private final Map<String, List<Stream>> running = new HashMap<>();
+	private final Map<String, List<Stream>> streamsByServer = new HashMap<>();
 
 	private final PriorityQueue<Call> due = new PriorityQueue<>(Comparator.comparingLong(Call::atMillis));
 
@@ -59,9 +59,9 @@
 
 	private long passEndsMillis;
 
-	private boolean passing;
+	private boolean passRunning;
 
-	private List<Stream> inPass = List.of();
+	private List<Stream> streamsInPass = List.of();
 
 	LoadModel(Scenario scenario, GroupLimit limit, long seed) {
 		this.scenario = scenario;
@@ -70,7 +70,7 @@
 			.mapToObj((i) -> new BackendEntry("r" + i, BackendRun.UNKNOWN, SERVICE, "10.0.0.1", 80 + i, dataCentre(i),
 					scenario.engine().slots(), false))
 			.collect(Collectors.toMap(BackendEntry::id, (entry) -> entry));
-		entries.keySet().forEach((id) -> this.running.put(id, new ArrayList<>()));
+		entries.keySet().forEach((id) -> this.streamsByServer.put(id, new ArrayList<>()));
 		for (int i = 0; i < scenario.gateways(); i++) {
 			BackendTable table = new BackendTable(this.clock, new Random(this.random.nextLong()), dataCentre(i),
 					scenario::gateways, limit);
@@ -89,7 +89,7 @@
 		long ms = 0;
 		while (ms < lengthMillis) {
 			while (nextMillis <= ms) {
-				this.due.add(new Call(ms, this.beginMillis + ms, false));
+				this.due.add(new Call(ms, this.startMillis + ms, false));
 				nextMillis += -Math.log(1 - this.random.nextDouble()) * 1000 / this.scenario.perSecond();
 			}
 			tick(ms);
@@ -101,18 +101,18 @@
 
 	private void tick(long ms) {
 		if (ms % REPORT_MILLIS == 0) {
-			this.gateways.forEach(Gateway::hear);
+			this.gateways.forEach(Gateway::exchangeReports);
 		}
 		while (!this.due.isEmpty() && this.due.peek().atMillis() <= ms) {
-			this.gateways.get(this.random.nextInt(this.gateways.size())).take(this.due.poll());
+			this.gateways.get(this.random.nextInt(this.gateways.size())).accept(this.due.poll());
 		}
-		if (ms % LOOK_MILLIS == 0) {
-			this.gateways.forEach(Gateway::look);
+		if (ms % RETRY_MILLIS == 0) {
+			this.gateways.forEach(Gateway::retryWaiting);
 		}
-		if (this.passing && ms >= this.passEndsMillis) {
+		if (this.passRunning && ms >= this.passEndsMillis) {
 			endPass();
 		}
-		if (!this.passing) {
+		if (!this.passRunning) {
 			beginPass(ms);
 		}
 	}
@@ -121,54 +121,56 @@
 
 	private void beginPass(long ms) {
 		EngineProfile engine = this.scenario.engine();
-		double work = 0;
-		double longestOwn = 0;
-		this.inPass = new ArrayList<>();
-		for (List<Stream> ofRank : this.running.values()) {
-			double own = 0;
+		double totalMillis = 0;
+		double longestRankMillis = 0;
+		this.streamsInPass = new ArrayList<>();
+		for (List<Stream> streams : this.streamsByServer.values()) {
+			double rankMillis = 0;
 			int budget = engine.stepsPerPass() * 512;
-			for (Stream stream : ofRank) {
+			for (Stream stream : streams) {
 				if (stream.promptLeft > 0) {
 					int read = Math.min(budget, stream.promptLeft);
 					budget -= read;
 					stream.promptLeft -= read;
-					own += read * 1000.0 / engine.promptTokensPerSecond();
+					rankMillis += read * 1000.0 / engine.promptTokensPerSecond();
 				}
 				else {
-					own += engine.stepsPerPass() * engine.perRequestMillis();
-					this.inPass.add(stream);
+					rankMillis += engine.stepsPerPass() * engine.perRequestMillis();
+					this.streamsInPass.add(stream);
 				}
 			}
-			work += own;
-			longestOwn = Math.max(longestOwn, own);
+			totalMillis += rankMillis;
+			longestRankMillis = Math.max(longestRankMillis, rankMillis);
 		}
-		if (work == 0) {
+		if (totalMillis == 0) {
 			return;
 		}
-		double shared = engine.expertShare() * work / this.scenario.ranks()
+		double expertMillis = engine.expertShare() * totalMillis / this.scenario.ranks()
 				* (1 + this.scenario.skew().applyAsDouble(ms));
-		double pass = engine.stepsPerPass() * engine.stepMillis() + (1 - engine.expertShare()) * longestOwn + shared;
-		this.passing = true;
-		this.passEndsMillis = ms + Math.round(pass);
+		double passMillis = engine.stepsPerPass() * engine.stepMillis() + (1 - engine.expertShare()) * longestRankMillis
+				+ expertMillis;
+		this.passRunning = true;
+		this.passEndsMillis = ms + Math.round(passMillis);
 	}
 
 	private void endPass() {
-		this.passing = false;
-		this.inPass.forEach(Stream::event);
+		this.passRunning = false;
+		this.streamsInPass.forEach(Stream::event);
 	}
 
-	// ---- the parts
+	// ---- elements of the model
 
 	/**
-	 * What is played.
+	 * The parameters of a simulation.
 	 *
-	 * @param engine how fast the ranks are
-	 * @param ranks how many ranks the group has
-	 * @param gateways how many gateways there are
-	 * @param perSecond how many callers come in a second
-	 * @param targetMillis until the first event, on time
-	 * @param pauseTargetMillis between events, on time
-	 * @param skew how far the slowest rank lags, by the time in milliseconds
+	 * @param engine the performance of the ranks
+	 * @param ranks the number of ranks of the group
+	 * @param gateways the number of gateways
+	 * @param perSecond the mean number of new callers per second
+	 * @param targetMillis the maximum time to the first event that is on time
+	 * @param pauseTargetMillis the maximum pause between events that is on time
+	 * @param skew the extra load of the slowest rank as a fraction of the mean load, by
+	 * the time in milliseconds
 	 */
 	record Scenario(EngineProfile engine, int ranks, int gateways, double perSecond, long targetMillis,
 			long pauseTargetMillis, LongToDoubleFunction skew) {
@@ -176,18 +178,18 @@
 	}
 
 	/**
-	 * One try of a caller.
+	 * One attempt of a caller.
 	 *
-	 * @param atMillis when it comes, from the beginning
-	 * @param firstMillis when its first try came
-	 * @param returned whether it was turned away before
+	 * @param atMillis when the attempt arrives, from the start of the simulation
+	 * @param firstMillis when the first attempt of the caller arrived, by the clock
+	 * @param rejectedBefore whether an earlier attempt was rejected
 	 */
-	private record Call(long atMillis, long firstMillis, boolean returned) {
+	private record Call(long atMillis, long firstMillis, boolean rejectedBefore) {
 
 	}
 
-	/** A call that waits at a gateway. */
-	private record Waiting(Call call, Arrival arrival) {
+	/** A call that waits in a gateway. */
+	private record WaitingCall(Call call, Arrival arrival) {
 
 	}
 
@@ -197,75 +199,75 @@
 
 		private final Admission admission;
 
-		private List<Waiting> waiting = new ArrayList<>();
+		private List<WaitingCall> waiting = new ArrayList<>();
 
-		private Map<String, Integer> told = Map.of();
+		private Map<String, Integer> reported = Map.of();
 
 		private Gateway(BackendTable table, Admission admission) {
 			this.table = table;
 			this.admission = admission;
 		}
 
-		// What was told at the last report of the others.
-		private void hear() {
+		// Applies the loads that the other gateways last reported, and reports its own.
+		private void exchangeReports() {
 			Map<String, Integer> sums = new HashMap<>();
 			for (Gateway other : LoadModel.this.gateways) {
 				if (other != this) {
-					other.told.forEach((id, count) -> sums.merge(id, count, Integer::sum));
+					other.reported.forEach((id, count) -> sums.merge(id, count, Integer::sum));
 				}
 			}
 			this.table.peersInFlight(sums, 1);
-			this.told = this.table.inFlight();
+			this.reported = this.table.inFlight();
 		}
 
-		private void take(Call call) {
-			Scenario played = LoadModel.this.scenario;
-			Arrival arrival = new Arrival(SERVICE, Set.of(), 0, played.engine(), played.targetMillis(),
-					played.pauseTargetMillis(), LoadModel.this.clock.nowMillis(), false);
-			decide(new Waiting(call, arrival));
+		private void accept(Call call) {
+			Scenario settings = LoadModel.this.scenario;
+			Arrival arrival = new Arrival(SERVICE, Set.of(), 0, settings.engine(), settings.targetMillis(),
+					settings.pauseTargetMillis(), LoadModel.this.clock.nowMillis(), false);
+			decide(new WaitingCall(call, arrival));
 		}
 
-		private void look() {
-			List<Waiting> looked = this.waiting;
+		private void retryWaiting() {
+			List<WaitingCall> retried = this.waiting;
 			this.waiting = new ArrayList<>();
-			looked.forEach(this::decide);
+			retried.forEach(this::decide);
 		}
 
-		private void decide(Waiting one) {
-			Admission.Verdict verdict = this.admission.decide(one.arrival());
+		private void decide(WaitingCall waitingCall) {
+			Admission.Verdict verdict = this.admission.decide(waitingCall.arrival());
 			if (verdict instanceof Admission.Verdict.Send send) {
-				send(one, send.backend());
+				send(waitingCall, send.backend());
 			}
 			else if (verdict instanceof Admission.Verdict.Wait) {
-				this.waiting.add(one);
+				this.waiting.add(waitingCall);
 			}
 			else {
-				reject(one.call());
+				reject(waitingCall.call());
 			}
 		}
 
-		private void send(Waiting one, Backend backend) {
-			List<Stream> ofRank = LoadModel.this.running.get(backend.id());
+		private void send(WaitingCall waitingCall, Backend backend) {
+			List<Stream> streams = LoadModel.this.streamsByServer.get(backend.id());
 			backend.sent(LoadModel.this.clock.nowMillis());
-			if (ofRank.size() >= LoadModel.this.scenario.engine().slots()) {
+			if (streams.size() >= LoadModel.this.scenario.engine().slots()) {
 				backend.refused(LoadModel.this.clock.nowMillis());
 				LoadModel.this.result.sentToFull++;
-				this.waiting.add(one);
+				this.waiting.add(waitingCall);
 				return;
 			}
-			ofRank.add(new Stream(this, backend, one.call()));
+			streams.add(new Stream(this, backend, waitingCall.call()));
 		}
 
 		private void reject(Call call) {
-			if (call.returned()) {
-				LoadModel.this.result.refusedTwice++;
+			if (call.rejectedBefore()) {
+				LoadModel.this.result.rejectedTwice++;
 				return;
 			}
-			LoadModel.this.result.refusedOnce++;
-			long target = LoadModel.this.scenario.targetMillis();
-			long laterMillis = (long) (target * (1.2 + 1.6 * LoadModel.this.random.nextDouble()));
-			long nowMillis = LoadModel.this.clock.nowMillis() - LoadModel.this.beginMillis;
-			LoadModel.this.due.add(new Call(nowMillis + laterMillis, call.firstMillis(), true));
+			LoadModel.this.result.rejectedOnce++;
+			long targetMillis = LoadModel.this.scenario.targetMillis();
+			long delayMillis = (long) (targetMillis * (1.2 + 1.6 * LoadModel.this.random.nextDouble()));
+			long nowMillis = LoadModel.this.clock.nowMillis() - LoadModel.this.startMillis;
+			LoadModel.this.due.add(new Call(nowMillis + delayMillis, call.firstMillis(), true));
 		}
 
 	}
@@ -296,24 +298,24 @@
 
 		private void event() {
 			long nowMillis = LoadModel.this.clock.nowMillis();
-			Scenario played = LoadModel.this.scenario;
+			Scenario settings = LoadModel.this.scenario;
 			if (this.lastMillis == 0) {
 				this.gateway.admission.began(SERVICE, nowMillis - this.sentMillis);
 				this.backend.streamBegan(nowMillis);
-				this.late = nowMillis - this.call.firstMillis() > played.targetMillis();
+				this.late = nowMillis - this.call.firstMillis() > settings.targetMillis();
 				if (nowMillis - this.sentMillis > PATIENCE_MILLIS) {
-					LoadModel.this.result.left++;
+					LoadModel.this.result.callersLeft++;
 				}
 			}
 			else {
-				long pause = nowMillis - this.lastMillis;
-				this.late = this.late || pause > played.pauseTargetMillis();
-				this.backend.paused(pause, played.pauseTargetMillis(), played.engine(), nowMillis);
+				long pauseMillis = nowMillis - this.lastMillis;
+				this.late = this.late || pauseMillis > settings.pauseTargetMillis();
+				this.backend.paused(pauseMillis, settings.pauseTargetMillis(), settings.engine(), nowMillis);
 			}
 			this.lastMillis = nowMillis;
 			this.eventsLeft--;
 			if (this.eventsLeft == 0) {
-				LoadModel.this.running.get(this.backend.id()).remove(this);
+				LoadModel.this.streamsByServer.get(this.backend.id()).remove(this);
 				this.backend.answered(nowMillis - this.sentMillis, nowMillis);
 				this.backend.streamEnded();
 				LoadModel.this.result.served(this.late);
--- a/gateway/src/test/java/org/snowwind/gateway/backend/LoadResult.java
+++ b/gateway/src/test/java/org/snowwind/gateway/backend/LoadResult.java
@@ -1,26 +1,26 @@
 package org.snowwind.gateway.backend;
 
 /**
- * What callers got.
+ * The outcomes of the calls of a simulation.
  */
 final class LoadResult {
 
-	/** The part of its worth that a late answer keeps. */
-	private static final double LATE_WORTH = 0.25;
+	/** The utility of a late answer; an answer on time has 1. */
+	private static final double LATE_UTILITY = 0.25;
 
-	private static final double REFUSED_TWICE_COST = 0.3;
+	private static final double REJECTED_TWICE_COST = 0.3;
 
 	int onTime;
 
 	int late;
 
-	int refusedOnce;
+	int rejectedOnce;
 
-	int refusedTwice;
+	int rejectedTwice;
 
 	int sentToFull;
 
-	int left;
+	int callersLeft;
 
 	void served(boolean wasLate) {
 		if (wasLate) {
@@ -32,22 +32,22 @@
 	}
 
 	int ended() {
-		return this.onTime + this.late + this.refusedTwice;
+		return this.onTime + this.late + this.rejectedTwice;
 	}
 
 	double onTimeShare() {
 		return (double) this.onTime / ended();
 	}
 
-	double worth() {
-		return (this.onTime + LATE_WORTH * this.late - REFUSED_TWICE_COST * this.refusedTwice) / ended();
+	double meanUtility() {
+		return (this.onTime + LATE_UTILITY * this.late - REJECTED_TWICE_COST * this.rejectedTwice) / ended();
 	}
 
 	@Override
 	public String toString() {
-		return String.format("worth %.3f, on time %.3f, late %.3f, refused twice %.3f, once %.3f, sent to full %d",
-				worth(), onTimeShare(), (double) this.late / ended(), (double) this.refusedTwice / ended(),
-				(double) this.refusedOnce / ended(), this.sentToFull);
+		return String.format("utility %.3f, on time %.3f, late %.3f, rejected twice %.3f, once %.3f, sent to full %d",
+				meanUtility(), onTimeShare(), (double) this.late / ended(), (double) this.rejectedTwice / ended(),
+				(double) this.rejectedOnce / ended(), this.sentToFull);
 	}
 
 }
--- a/gateway/src/test/java/org/snowwind/gateway/backend/PassTimeTests.java
+++ b/gateway/src/test/java/org/snowwind/gateway/backend/PassTimeTests.java
@@ -21,7 +21,7 @@
 
 	private long nowMillis = 1000;
 
-	private void passes(int count, long millis) {
+	private void observePasses(int count, long millis) {
 		for (int i = 0; i < count; i++) {
 			this.nowMillis += millis;
 			for (int stream = 0; stream < STREAMS; stream++) {
@@ -31,48 +31,48 @@
 	}
 
 	@Test
-	void whatARequestCostsIsLearned() {
-		passes(20, 68);
+	void timePerRequestIsEstimated() {
+		observePasses(20, 68);
 		assertThat(this.passes.millis()).isBetween(67.0, 69.0);
 		assertThat(this.passes.perRequestMillis()).isBetween(0.98, 1.02);
 	}
 
 	@Test
-	void aMoveOfDemandIsSeenWithinTwoPasses() {
-		passes(30, 55);
-		assertThat(this.passes.jumpedMillis()).isEqualTo(Long.MIN_VALUE);
-		passes(2, 95);
-		assertThat(this.passes.jumpedMillis()).isBetween(this.nowMillis - 95, this.nowMillis);
+	void shiftOfDemandIsDetectedWithinTwoPasses() {
+		observePasses(30, 55);
+		assertThat(this.passes.lastJumpMillis()).isEqualTo(Long.MIN_VALUE);
+		observePasses(2, 95);
+		assertThat(this.passes.lastJumpMillis()).isBetween(this.nowMillis - 95, this.nowMillis);
 	}
 
 	@Test
-	void promptsThatAreReadAtOnceAreNoJump() {
-		passes(30, 55);
+	void promptsReadAtTheSameTimeAreNoJump() {
+		observePasses(30, 55);
 		for (int i = 0; i < 20; i++) {
-			passes(1, 64);
-			passes(2, 55);
+			observePasses(1, 64);
+			observePasses(2, 55);
 		}
-		assertThat(this.passes.jumpedMillis()).isEqualTo(Long.MIN_VALUE);
+		assertThat(this.passes.lastJumpMillis()).isEqualTo(Long.MIN_VALUE);
 	}
 
 	@Test
-	void oneJumpIsToldOnceUntilPassesHaveSettled() {
-		passes(30, 55);
-		passes(2, 95);
-		long jumpedMillis = this.passes.jumpedMillis();
-		passes(5, 110);
-		assertThat(this.passes.jumpedMillis()).isEqualTo(jumpedMillis);
-		passes(30, 55);
-		passes(2, 95);
-		assertThat(this.passes.jumpedMillis()).isGreaterThan(jumpedMillis);
+	void jumpIsReportedOnceUntilPassesHaveSettled() {
+		observePasses(30, 55);
+		observePasses(2, 95);
+		long jumpedMillis = this.passes.lastJumpMillis();
+		observePasses(5, 110);
+		assertThat(this.passes.lastJumpMillis()).isEqualTo(jumpedMillis);
+		observePasses(30, 55);
+		observePasses(2, 95);
+		assertThat(this.passes.lastJumpMillis()).isGreaterThan(jumpedMillis);
 	}
 
 	@Test
-	void aStallIsNoPass() {
-		passes(30, 55);
-		passes(1, 4 * TARGET_MILLIS);
+	void stallIsNotObservedAsPass() {
+		observePasses(30, 55);
+		observePasses(1, 4 * TARGET_MILLIS);
 		assertThat(this.passes.millis()).isBetween(54.0, 56.0);
-		assertThat(this.passes.jumpedMillis()).isEqualTo(Long.MIN_VALUE);
+		assertThat(this.passes.lastJumpMillis()).isEqualTo(Long.MIN_VALUE);
 	}
 
 }
--- a/gateway/src/test/java/org/snowwind/gateway/backend/ReturnModel.java
+++ b/gateway/src/test/java/org/snowwind/gateway/backend/ReturnModel.java
@@ -21,8 +21,9 @@
 import org.snowwind.model.ManualClock;
 
 /**
- * Plays servers that reject all requests for a second, and their return, through the
- * decisions of several gateways that hear of each other late, in virtual time.
+ * Simulates, in virtual time, servers that reject all requests for a second, and the
+ * decisions of several gateways that use these servers again. The gateways receive
+ * delayed reports from each other.
  */
 final class ReturnModel {
 
@@ -34,15 +35,15 @@
 
 	private static final long RETRY_AFTER_MILLIS = 3000;
 
-	private static final long WAY_MILLIS = 2;
+	private static final long NETWORK_MILLIS = 2;
 
-	private static final long LOOK_MILLIS = 10;
+	private static final long RETRY_MILLIS = 10;
 
 	private static final long TARGET_MILLIS = 500;
 
-	private static final int WAITING_AT_SERVER = 6;
+	private static final int MAX_QUEUED_AT_SERVER = 6;
 
-	private static final int MOST_SENDS = 5;
+	private static final int MAX_SENDS = 5;
 
 	private static final long OVERLOAD_MILLIS = 1000;
 
@@ -83,21 +84,21 @@
 		return this.scenario.load() * this.scenario.servers() * SLOTS * 1000.0 / this.scenario.workMillis();
 	}
 
-	/** The overload begins after two seconds. */
+	/** Runs the simulation. The overload begins after two seconds. */
 	Result run(long lengthMillis) {
 		double nextMillis = 0;
 		for (long ms = 0; ms < lengthMillis; ms++, this.clock.advance(1)) {
-			if (ms % this.scenario.newsMillis() == 0) {
-				hearPeers();
+			if (ms % this.scenario.reportMillis() == 0) {
+				exchangeReports();
 			}
 			boolean overloaded = ms >= 2000 && ms < 2000 + OVERLOAD_MILLIS;
 			for (int i = 0; i < this.servers.size(); i++) {
 				this.servers.get(i).step(ms, overloaded && i < this.scenario.overloaded());
 			}
-			if (ms % LOOK_MILLIS == 0) {
-				List<Call> looking = this.waiting;
+			if (ms % RETRY_MILLIS == 0) {
+				List<Call> retried = this.waiting;
 				this.waiting = new ArrayList<>();
-				looking.forEach(this::dispatch);
+				retried.forEach(this::dispatch);
 			}
 			for (; nextMillis <= ms; nextMillis -= Math.log(1 - this.random.nextDouble()) * 1000 / perSecond()) {
 				this.result.arrived(ms);
@@ -107,7 +108,7 @@
 		return this.result;
 	}
 
-	private void hearPeers() {
+	private void exchangeReports() {
 		Map<String, Integer> all = new HashMap<>();
 		this.tables.forEach((table) -> table.inFlight().forEach((id, count) -> all.merge(id, count, Integer::sum)));
 		for (BackendTable table : this.tables) {
@@ -118,7 +119,7 @@
 	}
 
 	private void dispatch(Call call) {
-		Arrival arrival = new Arrival(SERVICE, call.tried, WAITING_AT_SERVER, null, TARGET_MILLIS, 0,
+		Arrival arrival = new Arrival(SERVICE, call.tried, MAX_QUEUED_AT_SERVER, null, TARGET_MILLIS, 0,
 				call.arrivedMillis, call.waits);
 		Admission.Verdict verdict = this.admissions.get(call.gateway).decide(arrival);
 		boolean waits = verdict instanceof Admission.Verdict.Wait;
@@ -129,7 +130,7 @@
 		if (waits) {
 			this.waiting.add(call);
 		}
-		else if (verdict instanceof Admission.Verdict.Send send && call.tried.size() < MOST_SENDS) {
+		else if (verdict instanceof Admission.Verdict.Send send && call.tried.size() < MAX_SENDS) {
 			send(call, send.backend());
 		}
 	}
@@ -137,8 +138,11 @@
 	private void send(Call call, Backend backend) {
 		call.tried.add(backend.id());
 		backend.sent(this.clock.nowMillis());
-		Server server = this.servers.stream().filter((one) -> one.id.equals(backend.id())).findFirst().orElseThrow();
-		server.coming.add(new Work(call, backend, this.clock.nowMillis()));
+		Server server = this.servers.stream()
+			.filter((candidate) -> candidate.id.equals(backend.id()))
+			.findFirst()
+			.orElseThrow();
+		server.arriving.add(new Work(call, backend, this.clock.nowMillis()));
 	}
 
 	private void reject(Work work, long ms) {
@@ -156,23 +160,24 @@
 	}
 
 	/**
-	 * What is played.
+	 * The parameters of a simulation.
 	 *
-	 * @param gateways how many gateways
-	 * @param servers how many servers
-	 * @param overloaded how many of them reject all requests for a second
-	 * @param workMillis how long a request runs, in milliseconds
-	 * @param newsMillis how often gateways hear of each other, in milliseconds
-	 * @param load the load, in parts of what all servers can run
-	 * @param paced whether gateways return at their pace, or all at once
+	 * @param gateways the number of gateways
+	 * @param servers the number of servers
+	 * @param overloaded how many of the servers reject all requests for a second
+	 * @param workMillis the mean time that a request runs, in milliseconds
+	 * @param reportMillis the period of the reports between gateways, in milliseconds
+	 * @param load the load as a fraction of the capacity of all servers
+	 * @param paced whether gateways use a server again at their own pace after a backoff,
+	 * rather than all at once
 	 */
-	record Scenario(int gateways, int servers, int overloaded, long workMillis, long newsMillis, double load,
+	record Scenario(int gateways, int servers, int overloaded, long workMillis, long reportMillis, double load,
 			boolean paced) {
 
 	}
 
 	/**
-	 * What came of it, by second.
+	 * The number of events of each kind, by second.
 	 */
 	static final class Result {
 
@@ -220,7 +225,7 @@
 
 		private final int gateway;
 
-		private final long bornMs;
+		private final long createdMs;
 
 		private final long arrivedMillis;
 
@@ -230,7 +235,7 @@
 
 		private Call(int gateway, long bornMs, long arrivedMillis) {
 			this.gateway = gateway;
-			this.bornMs = bornMs;
+			this.createdMs = bornMs;
 			this.arrivedMillis = arrivedMillis;
 		}
 
@@ -244,7 +249,7 @@
 
 		private final String id;
 
-		private final Deque<Work> coming = new ArrayDeque<>();
+		private final Deque<Work> arriving = new ArrayDeque<>();
 
 		private final Deque<Work> queue = new ArrayDeque<>();
 
@@ -255,14 +260,14 @@
 		}
 
 		private void step(long ms, boolean overloaded) {
-			long now = ReturnModel.this.clock.nowMillis();
+			long nowMillis = ReturnModel.this.clock.nowMillis();
 			for (Work done : this.running.keySet().stream().filter((work) -> this.running.get(work) <= ms).toList()) {
 				this.running.remove(done);
-				done.backend.answered(now - done.sentMillis, now);
-				ReturnModel.this.result.served(done.call.bornMs);
+				done.backend.answered(nowMillis - done.sentMillis, nowMillis);
+				ReturnModel.this.result.served(done.call.createdMs);
 			}
-			while (!this.coming.isEmpty() && this.coming.peek().sentMillis + WAY_MILLIS <= now) {
-				Work work = this.coming.remove();
+			while (!this.arriving.isEmpty() && this.arriving.peek().sentMillis + NETWORK_MILLIS <= nowMillis) {
+				Work work = this.arriving.remove();
 				if (overloaded || this.queue.size() >= QUEUE) {
 					reject(work, ms);
 				}
@@ -271,8 +276,9 @@
 				}
 			}
 			while (!this.queue.isEmpty() && this.running.size() < SLOTS) {
-				double drawn = -Math.log(1 - ReturnModel.this.random.nextDouble());
-				this.running.put(this.queue.remove(), ms + 1 + (long) (ReturnModel.this.scenario.workMillis() * drawn));
+				double factor = -Math.log(1 - ReturnModel.this.random.nextDouble());
+				this.running.put(this.queue.remove(),
+						ms + 1 + (long) (ReturnModel.this.scenario.workMillis() * factor));
 			}
 		}
 
--- a/gateway/src/test/java/org/snowwind/gateway/backend/ServerPickTests.java
+++ b/gateway/src/test/java/org/snowwind/gateway/backend/ServerPickTests.java
@@ -16,7 +16,7 @@
  */
 class ServerPickTests {
 
-	private static final int DRAWS = 5000;
+	private static final int PICKS = 5000;
 
 	private final Random random = new Random(7);
 
@@ -29,58 +29,58 @@
 				new BackendNotices(BackendRun.of(id))), fullness, roomShare, near);
 	}
 
-	private Map<String, Integer> draw(ServerPick pick, List<Candidate> candidates) {
+	private Map<String, Integer> countPicks(ServerPick pick, List<Candidate> candidates) {
 		Map<String, Integer> counts = new HashMap<>();
-		for (int i = 0; i < DRAWS; i++) {
+		for (int i = 0; i < PICKS; i++) {
 			counts.merge(pick.pick(candidates, this.random).orElseThrow().id(), 1, Integer::sum);
 		}
 		return counts;
 	}
 
 	@Test
-	void nobodyIsPickedOfNone() {
-		assertThat(ServerPick.leastFull().pick(List.of(), this.random)).isEmpty();
-		assertThat(ServerPick.drawnByRoom().pick(List.of(), this.random)).isEmpty();
+	void nothingIsPickedWithoutCandidates() {
+		assertThat(ServerPick.leastUtilized().pick(List.of(), this.random)).isEmpty();
+		assertThat(ServerPick.weightedRandom().pick(List.of(), this.random)).isEmpty();
 	}
 
 	@Test
-	void theLeastFullIsAlwaysTaken() {
-		Map<String, Integer> counts = draw(ServerPick.leastFull(),
+	void leastUtilizedServerIsAlwaysPicked() {
+		Map<String, Integer> counts = countPicks(ServerPick.leastUtilized(),
 				List.of(candidate("a", 0.5, 0.5), candidate("b", 0.25, 0.75), candidate("c", 0.75, 0.25)));
 		assertThat(counts).containsOnlyKeys("b");
 	}
 
 	@Test
-	void equallyFullOnesAreTakenEquallyOften() {
-		Map<String, Integer> counts = draw(ServerPick.leastFull(),
+	void equallyUtilizedServersArePickedEquallyOften() {
+		Map<String, Integer> counts = countPicks(ServerPick.leastUtilized(),
 				List.of(candidate("a", 0.5, 0.5), candidate("b", 0.5, 0.5)));
-		assertThat(counts.get("a")).isBetween(DRAWS * 45 / 100, DRAWS * 55 / 100);
+		assertThat(counts.get("a")).isBetween(PICKS * 45 / 100, PICKS * 55 / 100);
 	}
 
 	@Test
-	void twiceTheRoomIsDrawnFourTimesAsOften() {
-		Map<String, Integer> counts = draw(ServerPick.drawnByRoom(),
+	void serverWithTwiceTheRoomIsPickedFourTimesAsOften() {
+		Map<String, Integer> counts = countPicks(ServerPick.weightedRandom(),
 				List.of(candidate("a", 0.6, 0.4), candidate("b", 0.2, 0.8)));
-		assertThat(counts.get("b")).isBetween(DRAWS * 76 / 100, DRAWS * 84 / 100);
+		assertThat(counts.get("b")).isBetween(PICKS * 76 / 100, PICKS * 84 / 100);
 	}
 
 	@Test
-	void aServerNearbyIsDrawnMoreOftenThanAsEmptyAOneElsewhere() {
-		Map<String, Integer> counts = draw(ServerPick.drawnByRoom(),
+	void localServerIsPickedMoreOftenThanEquallyUtilizedRemoteOne() {
+		Map<String, Integer> counts = countPicks(ServerPick.weightedRandom(),
 				List.of(candidate("a", 0.5, 0.5, true), candidate("b", 0.5, 0.5, false)));
-		assertThat(counts.get("a")).isBetween(DRAWS * 76 / 100, DRAWS * 84 / 100);
+		assertThat(counts.get("a")).isBetween(PICKS * 76 / 100, PICKS * 84 / 100);
 	}
 
 	@Test
-	void aServerNearbyIsTakenWhileItIsHardlyFuller() {
-		Map<String, Integer> counts = draw(ServerPick.leastFull(),
+	void localServerIsPickedWhileItIsHardlyMoreUtilized() {
+		Map<String, Integer> counts = countPicks(ServerPick.leastUtilized(),
 				List.of(candidate("a", 0.5, 0.5, true), candidate("b", 0.4, 0.6, false)));
 		assertThat(counts).containsOnlyKeys("a");
 	}
 
 	@Test
-	void aServerElsewhereIsTakenWhereItIsMuchLessFull() {
-		Map<String, Integer> counts = draw(ServerPick.leastFull(),
+	void remoteServerIsPickedIfItIsMuchLessUtilized() {
+		Map<String, Integer> counts = countPicks(ServerPick.leastUtilized(),
 				List.of(candidate("a", 0.5, 0.5, true), candidate("b", 0.25, 0.75, false)));
 		assertThat(counts).containsOnlyKeys("b");
 	}
