--- a/gateway/src/main/java/org/snowwind/gateway/peer/CallRota.java
+++ b/gateway/src/main/java/org/snowwind/gateway/peer/CallRota.java
@@ -8,84 +8,87 @@
 import org.snowwind.decide.choice.Rendezvous;
 
 /**
- * Spreads calls to all peers over a period, so that news which peers pass on reach all of
- * them within a part of it. Confined to one thread.
+ * Spreads the calls to all peers over a period, so that information that peers relay
+ * reaches all of them within a fraction of the period. Confined to one thread.
  */
 final class CallRota {
 
-	private static final double LEAST_FIRST_PERIOD = 0.5;
+	private static final double MIN_FIRST_DELAY_PERIODS = 0.5;
 
-	private static final long PARTS = 1000;
+	private static final long HASH_BUCKETS = 1000;
 
 	private final String ownAddress;
 
-	private final Map<String, Turn> turns = new HashMap<>();
+	private final Map<String, PeerCalls> callsByAddress = new HashMap<>();
 
 	/**
-	 * Creates a rota without turns.
-	 * @param ownAddress the own address: gateways that start together call a peer at
-	 * different times
+	 * Creates a schedule without peers.
+	 * @param ownAddress the address of this gateway; it determines the offsets of the
+	 * calls, so that gateways that start together call a peer at different times
 	 */
 	CallRota(String ownAddress) {
 		this.ownAddress = ownAddress;
 	}
 
 	/**
-	 * Returns whose turn it is.
+	 * Returns the peers to call now, and schedules their next calls.
 	 * @param addresses the addresses of all peers
-	 * @param nowMillis the time, in milliseconds
-	 * @param periodMillis the time in which each has one turn, in milliseconds
-	 * @return the addresses of those that are called now
+	 * @param nowMillis the current time, in milliseconds
+	 * @param periodMillis the period in which each peer is called once, in milliseconds
+	 * @return the addresses of the peers to call now
 	 */
 	List<String> due(List<String> addresses, long nowMillis, long periodMillis) {
-		this.turns.keySet().retainAll(addresses);
+		this.callsByAddress.keySet().retainAll(addresses);
 		List<String> due = new ArrayList<>();
 		for (String address : addresses) {
-			Turn turn = this.turns.get(address);
-			if (turn == null || nowMillis >= turn.nextMillis()) {
+			PeerCalls calls = this.callsByAddress.get(address);
+			if (calls == null || nowMillis >= calls.nextMillis()) {
 				due.add(address);
-				this.turns.put(address, next(address, turn, nowMillis, periodMillis));
+				this.callsByAddress.put(address, next(address, calls, nowMillis, periodMillis));
 			}
 		}
 		return due;
 	}
 
-	// Peers that were heard of together do not stay together.
-	private Turn next(String address, Turn turn, long nowMillis, long periodMillis) {
-		if (turn == null) {
-			double part = (double) Math.floorMod(Rendezvous.hash(this.ownAddress + ' ' + address), PARTS) / PARTS;
-			return new Turn(nowMillis + Math.round(periodMillis * (LEAST_FIRST_PERIOD + part)), 1);
+	// The delay after the first call depends on the addresses, so that the calls to peers
+	// that were discovered together spread over the period.
+	private PeerCalls next(String address, PeerCalls calls, long nowMillis, long periodMillis) {
+		if (calls == null) {
+			double fraction = (double) Math.floorMod(Rendezvous.hash(this.ownAddress + ' ' + address), HASH_BUCKETS)
+					/ HASH_BUCKETS;
+			return new PeerCalls(nowMillis + Math.round(periodMillis * (MIN_FIRST_DELAY_PERIODS + fraction)), 1);
 		}
-		boolean onTime = nowMillis - turn.nextMillis() < periodMillis;
-		return new Turn((onTime ? turn.nextMillis() : nowMillis) + periodMillis, turn.number() + 1);
+		boolean onTime = nowMillis - calls.nextMillis() < periodMillis;
+		return new PeerCalls((onTime ? calls.nextMillis() : nowMillis) + periodMillis, calls.count() + 1);
 	}
 
 	/**
-	 * Counts the turns of a peer.
+	 * Returns how often a peer was due for a call, including calls that could not be
+	 * sent.
 	 * @param address the peer's address
-	 * @return a number of turns, 0 for an unknown peer
+	 * @return the number of due calls, 0 for an unknown peer
 	 */
-	long turns(String address) {
-		Turn turn = this.turns.get(address);
-		return (turn != null) ? turn.number() : 0;
+	long callCount(String address) {
+		PeerCalls calls = this.callsByAddress.get(address);
+		return (calls != null) ? calls.count() : 0;
 	}
 
 	/**
-	 * Lets a peer whose turn could not be used have another one at once.
+	 * Makes a peer due immediately because the call to it could not be sent.
 	 * @param address the peer's address
-	 * @param nowMillis the time, in milliseconds
+	 * @param nowMillis the current time, in milliseconds
 	 */
-	void again(String address, long nowMillis) {
-		this.turns.computeIfPresent(address, (key, turn) -> new Turn(nowMillis, turn.number()));
+	void retryNow(String address, long nowMillis) {
+		this.callsByAddress.computeIfPresent(address, (key, calls) -> new PeerCalls(nowMillis, calls.count()));
 	}
 
 	/**
-	 * The turns of one peer.
+	 * The calls to one peer.
 	 *
-	 * @param nextMillis when the next one is, in milliseconds
-	 * @param number how many there were
+	 * @param nextMillis when the next call is due, in milliseconds
+	 * @param count the number of due calls so far
 	 */
-	private record Turn(long nextMillis, long number) {
+	private record PeerCalls(long nextMillis, long count) {
 
 	}
 
--- a/gateway/src/main/java/org/snowwind/gateway/peer/ConfirmationRank.java
+++ b/gateway/src/main/java/org/snowwind/gateway/peer/ConfirmationRank.java
@@ -6,9 +6,9 @@
 import org.snowwind.decide.choice.Rendezvous;
 
 /**
- * Ranks the live gateways for asking the store whether copies are still the newest, so
- * that all choose the same one without agreeing on it, and another one for each kind of
- * object.
+ * Ranks the live gateways for asking the store whether copies are still the newest. All
+ * gateways compute the same ranking, so that they choose the same gateway without
+ * coordination, and another one for each kind of object.
  */
 public final class ConfirmationRank {
 
@@ -18,9 +18,9 @@
 
 	/**
 	 * Creates the rank of a gateway.
-	 * @param name its name
-	 * @param confirmingPeers names the peers that answer, do not leave and reach the
-	 * store
+	 * @param name the name of the gateway
+	 * @param confirmingPeers provides the names of the peers that are live, not leaving
+	 * and able to reach the store
 	 */
 	public ConfirmationRank(String name, Supplier<Set<String>> confirmingPeers) {
 		this.name = name;
@@ -28,9 +28,9 @@
 	}
 
 	/**
-	 * Returns how many of these peers come before this gateway.
-	 * @param prefix the start of the keys of the objects
-	 * @return a number of gateways, 0 for the first in rank
+	 * Returns the number of these peers that rank before this gateway.
+	 * @param prefix the prefix of the keys of the objects
+	 * @return the number of gateways, 0 for the first in rank
 	 */
 	public int of(String prefix) {
 		long seed = Rendezvous.hash(prefix);
--- a/gateway/src/main/java/org/snowwind/gateway/peer/DocumentFetches.java
+++ b/gateway/src/main/java/org/snowwind/gateway/peer/DocumentFetches.java
@@ -6,99 +6,107 @@
 import org.snowwind.wire.generated.GatewayDocument;
 
 /**
- * Decides when a document is fetched from a peer: when the platform has not brought by
- * itself what a peer has, and no other peer is being asked for it. Confined to one
- * thread.
+ * Decides when a document is fetched from a peer. That is the case if the platform has
+ * not delivered the revision that the peer has within a grace period, and no other fetch
+ * of the document is in flight. There is no grace period if this gateway has no document
+ * or the platform is unavailable. Confined to one thread.
  */
 final class DocumentFetches {
 
-	/** So long a revision is not fetched that its peer did not give, in milliseconds. */
-	private static final long DENIED_MILLIS = 30_000;
+	/**
+	 * The time for which a revision that a peer reported but did not deliver is not
+	 * fetched again, in milliseconds.
+	 */
+	private static final long UNDELIVERED_BACKOFF_MILLIS = 30_000;
 
 	private final long graceMillis;
 
-	private final long callMillis;
+	private final long callTimeoutMillis;
 
-	private final Map<GatewayDocument, Behind> behind = new EnumMap<>(GatewayDocument.class);
+	private final Map<GatewayDocument, FetchState> states = new EnumMap<>(GatewayDocument.class);
 
 	/**
-	 * Creates fetches of which none is under way.
-	 * @param graceMillis how long the platform has to bring a newer document, in
+	 * Creates fetches of which none is in flight.
+	 * @param graceMillis the time that the platform has to deliver a newer document, in
 	 * milliseconds
-	 * @param callMillis how long a fetch may take, in milliseconds
+	 * @param callTimeoutMillis the timeout of a fetch, in milliseconds
 	 */
-	DocumentFetches(long graceMillis, long callMillis) {
+	DocumentFetches(long graceMillis, long callTimeoutMillis) {
 		this.graceMillis = graceMillis;
-		this.callMillis = callMillis;
+		this.callTimeoutMillis = callTimeoutMillis;
 	}
 
 	/**
-	 * Tells whether a document is to be fetched from a peer, and takes it that it is.
+	 * Returns whether to fetch a document from a peer, and if so records the fetch as in
+	 * flight.
 	 * @param kind which document
-	 * @param theirs the revision that the peer has
-	 * @param own the own revision, 0 for no document
-	 * @param storeAway whether the platform does not answer, and has no grace
-	 * @param nowMillis the time, in milliseconds
-	 * @return true if it is to be fetched
+	 * @param peerRevision the revision that the peer has
+	 * @param ownRevision the own revision, 0 for no document
+	 * @param storeUnavailable whether the platform is unavailable; there is no grace
+	 * period then
+	 * @param nowMillis the current time, in milliseconds
+	 * @return true if the caller must fetch it
 	 */
-	boolean begin(GatewayDocument kind, long theirs, long own, boolean storeAway, long nowMillis) {
-		Behind state = this.behind.computeIfAbsent(kind, (key) -> new Behind());
-		boolean denied = theirs == state.deniedRevision && nowMillis < state.deniedUntilMillis;
-		if (theirs <= own || denied) {
+	boolean tryBegin(GatewayDocument kind, long peerRevision, long ownRevision, boolean storeUnavailable,
+			long nowMillis) {
+		FetchState state = this.states.computeIfAbsent(kind, (key) -> new FetchState());
+		boolean backingOff = peerRevision == state.undeliveredRevision && nowMillis < state.backoffUntilMillis;
+		if (peerRevision <= ownRevision || backingOff) {
 			return false;
 		}
-		if (state.newest <= own) {
-			state.sinceMillis = nowMillis;
+		if (state.newestPeerRevision <= ownRevision) {
+			state.behindSinceMillis = nowMillis;
 		}
-		state.newest = Math.max(state.newest, theirs);
-		boolean waited = own == 0 || storeAway || nowMillis - state.sinceMillis >= this.graceMillis;
-		if (!waited || nowMillis < state.busyUntilMillis) {
+		state.newestPeerRevision = Math.max(state.newestPeerRevision, peerRevision);
+		boolean graceElapsed = ownRevision == 0 || storeUnavailable
+				|| nowMillis - state.behindSinceMillis >= this.graceMillis;
+		if (!graceElapsed || nowMillis < state.inFlightUntilMillis) {
 			return false;
 		}
-		state.busyUntilMillis = nowMillis + this.callMillis;
+		state.inFlightUntilMillis = nowMillis + this.callTimeoutMillis;
 		return true;
 	}
 
 	/**
-	 * Records that a peer did not answer.
+	 * Records that a fetch failed without an answer.
 	 * @param kind which document
 	 */
 	void failed(GatewayDocument kind) {
-		this.behind.get(kind).busyUntilMillis = Long.MIN_VALUE;
+		this.states.get(kind).inFlightUntilMillis = Long.MIN_VALUE;
 	}
 
 	/**
-	 * Records that a peer has answered. A revision that it did not give is not asked for
-	 * again for a while.
+	 * Records that a peer has answered a fetch. If it did not deliver the revision that
+	 * it had reported, that revision is not fetched again for a while.
 	 * @param kind which document
-	 * @param theirs the revision that the peer had
-	 * @param own the own revision since
-	 * @param nowMillis the time, in milliseconds
+	 * @param peerRevision the revision that the peer had reported
+	 * @param ownRevision the own revision after the answer was applied
+	 * @param nowMillis the current time, in milliseconds
 	 */
-	void ended(GatewayDocument kind, long theirs, long own, long nowMillis) {
-		Behind state = this.behind.get(kind);
-		state.busyUntilMillis = Long.MIN_VALUE;
-		state.newest = own;
-		if (own < theirs) {
-			state.deniedRevision = theirs;
-			state.deniedUntilMillis = nowMillis + DENIED_MILLIS;
+	void completed(GatewayDocument kind, long peerRevision, long ownRevision, long nowMillis) {
+		FetchState state = this.states.get(kind);
+		state.inFlightUntilMillis = Long.MIN_VALUE;
+		state.newestPeerRevision = ownRevision;
+		if (ownRevision < peerRevision) {
+			state.undeliveredRevision = peerRevision;
+			state.backoffUntilMillis = nowMillis + UNDELIVERED_BACKOFF_MILLIS;
 		}
 	}
 
 	/**
-	 * What is known of one document.
+	 * The state of one document: what peers have, and the fetches of it.
 	 */
-	private static final class Behind {
+	private static final class FetchState {
 
-		private long newest;
+		private long newestPeerRevision;
 
-		private long sinceMillis;
+		private long behindSinceMillis;
 
-		private long busyUntilMillis = Long.MIN_VALUE;
+		private long inFlightUntilMillis = Long.MIN_VALUE;
 
-		private long deniedRevision;
+		private long undeliveredRevision;
 
-		private long deniedUntilMillis = Long.MIN_VALUE;
+		private long backoffUntilMillis = Long.MIN_VALUE;
 
 	}
 
--- a/gateway/src/main/java/org/snowwind/gateway/peer/FleetSize.java
+++ b/gateway/src/main/java/org/snowwind/gateway/peer/FleetSize.java
@@ -1,49 +1,50 @@
 package org.snowwind.gateway.peer;
 
 /**
- * How many gateways there may be, those out of reach included: the number by which what
- * all may do together is divided. Confined to one thread.
+ * Estimates how many gateways exist, including unreachable ones. Limits that apply to all
+ * gateways together are divided by this number. Confined to one thread.
  *
  * <p>
- * A gateway that hears of fewer others may have been cut off from them, and then they go
- * on. So the number falls only while most of them are heard; and one that was just
- * started does not take itself for the only one, but says that it does not know.
+ * A gateway that sees fewer peers may be partitioned from them while they continue to
+ * work. The estimate therefore decreases only while a majority of the gateways is
+ * reachable. A gateway that has just started reports an unknown size instead of assuming
+ * that it is the only one.
  */
 final class FleetSize {
 
-	/** The size as long as nothing was heard. */
+	/** The size until a peer or the platform has been heard from. */
 	static final int UNKNOWN = 0;
 
 	private int size = UNKNOWN;
 
 	/**
-	 * Takes note of what is known now.
-	 * @param known how many others were heard of lately, alive or not
-	 * @param live how many of them are heard
+	 * Updates the size from the peers that are currently known.
+	 * @param known the number of other gateways that were recently known, live or not
+	 * @param live the number of them that are live
 	 */
 	void observe(int known, int live) {
 		if (live > 0) {
-			use(known + 1, live + 1);
+			update(known + 1, live + 1);
 		}
 	}
 
 	/**
-	 * Takes note of a list of all gateways that the platform has given.
-	 * @param others how many it names, this one left out
+	 * Updates the size from the list of all gateways in the platform.
+	 * @param others the number of gateways in the list, without this one
 	 */
 	void listed(int others) {
 		this.size = Math.max(this.size, others + 1);
 	}
 
-	private void use(int now, int liveNow) {
-		boolean mostAreHeard = 2 * liveNow > this.size;
-		this.size = mostAreHeard ? now : Math.max(this.size, now);
+	private void update(int newSize, int newLive) {
+		boolean majorityIsLive = 2 * newLive > this.size;
+		this.size = majorityIsLive ? newSize : Math.max(this.size, newSize);
 	}
 
 	/**
 	 * Returns the size.
-	 * @return how many gateways there may be, this one included; {@link #UNKNOWN} before
-	 * any other or the platform was heard
+	 * @return the estimated number of gateways including this one; {@link #UNKNOWN} until
+	 * a peer or the platform has been heard from
 	 */
 	int size() {
 		return this.size;
--- a/gateway/src/main/java/org/snowwind/gateway/peer/GatewayControlService.java
+++ b/gateway/src/main/java/org/snowwind/gateway/peer/GatewayControlService.java
@@ -27,10 +27,10 @@
 
 	/**
 	 * Creates the service.
-	 * @param mesh takes reports
-	 * @param documents gives documents
-	 * @param ownReport makes the own report
-	 * @param limits gives parts of the rates of limited servers
+	 * @param mesh receives the reports
+	 * @param documents provides the documents
+	 * @param ownReport composes the report of this gateway
+	 * @param limits grants shares of the rates of limited servers
 	 */
 	public GatewayControlService(PeerMesh mesh, PeerDocuments documents, Supplier<GatewayReport> ownReport,
 			LimitDuty limits) {
@@ -42,7 +42,7 @@
 
 	@Override
 	public GatewayReport exchange(GatewayReport report, ExchangeStamp stamp) {
-		this.mesh.called(report, stamp);
+		this.mesh.handleCall(report, stamp);
 		return this.ownReport.get();
 	}
 
@@ -53,7 +53,7 @@
 
 	@Override
 	public ConfigDocument fetchDocument(GatewayDocument kind, long haveRevision) {
-		return this.documents.give(kind, haveRevision);
+		return this.documents.provide(kind, haveRevision);
 	}
 
 }
--- a/gateway/src/main/java/org/snowwind/gateway/peer/GatewayDirectory.java
+++ b/gateway/src/main/java/org/snowwind/gateway/peer/GatewayDirectory.java
@@ -20,18 +20,22 @@
 import org.snowwind.store.WriteResult;
 
 /**
- * Registers this gateway in the platform and finds the others there. Confined to one
- * thread, which it blocks.
+ * Registers this gateway in the platform and discovers the other gateways there. Confined
+ * to one thread, which it blocks.
  *
  * <p>
- * Peers tell each other of peers; this is only for a gateway whose seeds are all gone.
+ * Peers normally learn of each other by their reports. The directory is needed only by a
+ * gateway if none of its seeds exists any longer.
  */
 public final class GatewayDirectory {
 
 	private static final String PREFIX = "gateways/";
 
-	/** After so many rounds without a word from a gateway its entry is deleted. */
-	private static final int FORGET_ROUNDS = 8;
+	/**
+	 * The entry of a gateway is deleted after more than this number of rounds in which
+	 * the gateway was not live.
+	 */
+	private static final int MAX_SILENT_ROUNDS = 8;
 
 	private final ObjectStore store;
 
@@ -39,43 +43,44 @@
 
 	private final String address;
 
-	private final Consumer<List<String>> found;
+	private final Consumer<List<String>> addressListener;
 
-	private final Supplier<Set<String>> alive;
+	private final Supplier<Set<String>> liveAddresses;
 
 	private final Map<String, Integer> silentRounds = new HashMap<>();
 
 	/**
-	 * Creates a directory that has made no call.
+	 * Creates a directory without making a call.
 	 * @param store the platform
-	 * @param name the own name
-	 * @param address the own control address
-	 * @param found is told where gateways may be
-	 * @param alive lists the control addresses of gateways that answer
+	 * @param name the name of this gateway
+	 * @param address the control address of this gateway
+	 * @param addressListener receives the control addresses of the other registered
+	 * gateways
+	 * @param liveAddresses provides the control addresses of the live gateways
 	 */
-	public GatewayDirectory(ObjectStore store, String name, String address, Consumer<List<String>> found,
-			Supplier<Set<String>> alive) {
+	public GatewayDirectory(ObjectStore store, String name, String address, Consumer<List<String>> addressListener,
+			Supplier<Set<String>> liveAddresses) {
 		this.store = store;
 		this.name = name;
 		this.address = address;
-		this.found = found;
-		this.alive = alive;
+		this.addressListener = addressListener;
+		this.liveAddresses = liveAddresses;
 	}
 
 	/**
-	 * Lists the others and, if the own entry is missing or old, writes it.
+	 * Lists the other gateways, and writes the own entry if it is missing or outdated.
 	 */
 	public void round() {
 		this.store.list(PREFIX).match((listing) -> {
-			use(listing);
+			processListing(listing);
 			return true;
-		}, (none) -> false);
+		}, (unavailable) -> false);
 	}
 
-	private void use(ListResult.Listed listing) {
+	private void processListing(ListResult.Listed listing) {
 		List<String> addresses = new ArrayList<>();
 		Optional<StoredObject> own = Optional.empty();
-		Set<String> alive = this.alive.get();
+		Set<String> alive = this.liveAddresses.get();
 		Map<String, Integer> silentBefore = Map.copyOf(this.silentRounds);
 		this.silentRounds.clear();
 		for (StoredObject object : listing.objects()) {
@@ -85,8 +90,8 @@
 			}
 			String other = addressOf(object);
 			int silent = alive.contains(other) ? 0 : silentBefore.getOrDefault(object.key(), 0) + 1;
-			if (silent > FORGET_ROUNDS) {
-				// A gateway that lives after all registers again.
+			if (silent > MAX_SILENT_ROUNDS) {
+				// If the gateway is alive nevertheless, it registers again.
 				this.store.delete(object.key(), object.revision());
 				continue;
 			}
@@ -95,9 +100,9 @@
 				addresses.add(other);
 			}
 		}
-		this.found.accept(addresses);
-		boolean standing = own.isPresent() && addressOf(own.get()).equals(this.address);
-		if (!standing) {
+		this.addressListener.accept(addresses);
+		boolean registered = own.isPresent() && addressOf(own.get()).equals(this.address);
+		if (!registered) {
 			register(own);
 		}
 	}
@@ -106,9 +111,9 @@
 		return (object.value() != null) ? object.value().path("address").asText() : "";
 	}
 
-	private void register(Optional<StoredObject> standing) {
+	private void register(Optional<StoredObject> previous) {
 		JsonNode value = Json.MAPPER.createObjectNode().put("address", this.address);
-		WriteResult result = this.store.put(PREFIX + this.name, standing.map(StoredObject::revision).orElse(0L), value);
+		WriteResult result = this.store.put(PREFIX + this.name, previous.map(StoredObject::revision).orElse(0L), value);
 		EventLog.log(Event.GATEWAY_REGISTERED, "name", this.name, "address", this.address, "result", result);
 	}
 
--- a/gateway/src/main/java/org/snowwind/gateway/peer/PeerDocuments.java
+++ b/gateway/src/main/java/org/snowwind/gateway/peer/PeerDocuments.java
@@ -15,7 +15,7 @@
 import org.snowwind.wire.generated.GatewayDocument;
 
 /**
- * The documents that gateways give each other when the platform does not bring them.
+ * The documents that gateways exchange when the platform does not deliver them.
  */
 public final class PeerDocuments {
 
@@ -30,11 +30,12 @@
 	private final String registryPrefix;
 
 	/**
-	 * Creates the documents.
-	 * @param tables holds the table in force
-	 * @param tableReader reads tables of peers
-	 * @param registries holds the newest registry
-	 * @param registryPrefix the prefix of the store's objects from which it is made
+	 * Creates the documents of this gateway.
+	 * @param tables the holder of the table in force
+	 * @param tableReader decodes and applies tables of peers
+	 * @param registries the holder of the newest registry
+	 * @param registryPrefix the key prefix of the stored objects that make up the
+	 * registry
 	 */
 	public PeerDocuments(TableHolder tables, TableWatcher tableReader, RegistryHolder registries,
 			String registryPrefix) {
@@ -53,12 +54,12 @@
 	}
 
 	/**
-	 * Gives a document to a peer.
-	 * @param kind which
+	 * Returns a document for a peer.
+	 * @param kind which document
 	 * @param haveRevision the revision that the peer has
-	 * @return the document, an empty one if the peer's is as new
+	 * @return the document, an empty one if the peer's is at least as new
 	 */
-	ConfigDocument give(GatewayDocument kind, long haveRevision) {
+	ConfigDocument provide(GatewayDocument kind, long haveRevision) {
 		if (revisionOf(kind) <= haveRevision) {
 			return NOTHING_NEWER.deepCopy();
 		}
@@ -75,17 +76,17 @@
 			return Json.MAPPER.writeValueAsBytes(registry);
 		}
 		catch (IOException ex) {
-			throw new IllegalStateException("texts and numbers always serialize", ex);
+			throw new IllegalStateException("a registry always serializes", ex);
 		}
 	}
 
 	/**
-	 * Takes a document of a peer, unless it is empty or not newer than ours.
-	 * @param kind which
+	 * Applies the document of a peer, unless it is empty or not newer than the own one.
+	 * @param kind which document
 	 * @param document the document
 	 * @param peer the peer's address, for the log
 	 */
-	void take(GatewayDocument kind, ConfigDocument document, String peer) {
+	void accept(GatewayDocument kind, ConfigDocument document, String peer) {
 		if (document.getDocument().length == 0) {
 			return;
 		}
--- a/gateway/src/main/java/org/snowwind/gateway/peer/PeerMesh.java
+++ b/gateway/src/main/java/org/snowwind/gateway/peer/PeerMesh.java
@@ -26,25 +26,29 @@
 import org.snowwind.wire.generated.GatewayReport;
 
 /**
- * Exchanges reports with all other gateways, and fetches what they know and this process
- * does not.
+ * Exchanges reports with all other gateways, and fetches documents of which they have a
+ * newer revision.
  */
 public final class PeerMesh implements AutoCloseable {
 
-	/** How long a call to a peer may take, in milliseconds. */
-	private static final long CALL_MILLIS = 800;
+	/** The timeout of a call to a peer, in milliseconds. */
+	private static final long CALL_TIMEOUT_MILLIS = 800;
 
-	/** The shortest time between reports to one peer, in milliseconds. */
-	private static final long LEAST_PERIOD_MILLIS = 100;
+	/** The minimum period between reports to one peer, in milliseconds. */
+	private static final long MIN_PERIOD_MILLIS = 100;
 
 	/**
-	 * The same for each peer that there is, so that calls stay bounded: a hundred calls a
-	 * second for each process.
+	 * The minimum period between reports to one peer is also this time multiplied by the
+	 * number of known peers, in milliseconds. This bounds the calls of one process to a
+	 * hundred per second.
 	 */
 	private static final long PERIOD_PER_PEER_MILLIS = 10;
 
-	/** So many reports hold one list of all gateways; it would be most of each. */
-	private static final int TURNS_PER_LISTING = 5;
+	/**
+	 * One of this number of calls to a peer includes the list of all gateways, which
+	 * would otherwise make up most of each report.
+	 */
+	private static final int CALLS_PER_LISTING = 5;
 
 	private static final int RING_SIZE = 1024;
 
@@ -62,7 +66,7 @@
 
 	private final DocumentFetches fetches;
 
-	private final CallRota rota;
+	private final CallRota schedule;
 
 	private final Consumers consumers;
 
@@ -70,23 +74,23 @@
 
 	private final DutyThread thread;
 
-	private long nextAgingMillis = Long.MIN_VALUE;
+	private long nextExpiryMillis = Long.MIN_VALUE;
 
 	private final FleetSize fleet = new FleetSize();
 
 	private volatile View view = new View(FleetSize.UNKNOWN, Map.of(), Set.of(), Set.of(), 0, Set.of());
 
 	/**
-	 * Creates a mesh that calls nobody yet.
-	 * @param peers keeps what peers say
-	 * @param documents gives and takes documents
-	 * @param calls carries the calls
-	 * @param ownReport makes the own report
-	 * @param claims takes what peers have confirmed
-	 * @param fetchGraceMillis how long the platform has to bring a document that a peer
-	 * has, in milliseconds
-	 * @param consumers take what peers say
-	 * @param clock tells the time
+	 * Creates a mesh that does not call peers yet.
+	 * @param peers holds the reports of peers
+	 * @param documents provides and applies documents
+	 * @param calls creates the links to peers
+	 * @param ownReport composes the report of this gateway
+	 * @param claims exchanges confirmations of the store with peers
+	 * @param fetchGraceMillis the time that the platform has to deliver a document that a
+	 * peer has, in milliseconds
+	 * @param consumers receive what peers report
+	 * @param clock provides the current time
 	 */
 	public PeerMesh(PeerTable peers, PeerDocuments documents, ThriftCalls calls, Supplier<GatewayReport> ownReport,
 			StoreClaims claims, long fetchGraceMillis, Consumers consumers, MonotonicClock clock) {
@@ -95,62 +99,62 @@
 		this.calls = calls;
 		this.ownReport = ownReport;
 		this.claims = claims;
-		this.rota = new CallRota(peers.ownAddress());
-		this.fetches = new DocumentFetches(fetchGraceMillis, CALL_MILLIS);
+		this.schedule = new CallRota(peers.ownAddress());
+		this.fetches = new DocumentFetches(fetchGraceMillis, CALL_TIMEOUT_MILLIS);
 		this.consumers = consumers;
 		this.clock = clock;
-		this.thread = new DutyThread("peers", RING_SIZE, LEAST_PERIOD_MILLIS / 2, this::round);
+		this.thread = new DutyThread("peers", RING_SIZE, MIN_PERIOD_MILLIS / 2, this::runRound);
 	}
 
 	/**
-	 * Begins to call peers.
-	 * @param seeds addresses at which peers may be
+	 * Starts calling peers.
+	 * @param seeds the addresses at which there may be peers
 	 */
 	public void start(List<InetSocketAddress> seeds) {
 		long nowMillis = this.clock.nowMillis();
-		seeds.forEach((seed) -> this.peers.mayBeAt(Addresses.render(seed), nowMillis));
+		seeds.forEach((seed) -> this.peers.addCandidate(Addresses.render(seed), nowMillis));
 		this.thread.start();
 	}
 
 	/**
-	 * Returns what is known of peers.
-	 * @return the view as of the last round
+	 * Returns the current view of the peers.
+	 * @return the view as of the last round or report
 	 */
 	public View view() {
 		return this.view;
 	}
 
 	/**
-	 * Takes a report that a peer has sent with a call of its own.
+	 * Processes the report that a peer has sent in a call to this gateway.
 	 * @param report the report
-	 * @param stamp tells when it was composed
+	 * @param stamp determines when the report was composed
 	 */
-	void called(GatewayReport report, ExchangeStamp stamp) {
+	void handleCall(GatewayReport report, ExchangeStamp stamp) {
 		this.thread.offer(() -> {
-			this.claims.called(report, stamp);
-			heard(report);
+			this.claims.acceptCall(report, stamp);
+			handleReport(report);
 		});
 	}
 
-	private void answered(String address, GatewayReport answer, long sentMillis) {
+	private void handleAnswer(String address, GatewayReport answer, long sentMillis) {
 		this.thread.offer(() -> {
-			this.claims.answered(address, answer, sentMillis, this.clock.nowMillis());
-			heard(answer);
+			this.claims.acceptAnswer(address, answer, sentMillis, this.clock.nowMillis());
+			handleReport(answer);
 		});
 	}
 
-	private void round() {
+	private void runRound() {
 		long nowMillis = this.clock.nowMillis();
-		long periodMillis = Math.max(LEAST_PERIOD_MILLIS, PERIOD_PER_PEER_MILLIS * this.peers.known());
-		if (nowMillis >= this.nextAgingMillis) {
-			this.nextAgingMillis = nowMillis + periodMillis;
-			this.peers.age(nowMillis, periodMillis);
-			closeLinksToForgotten();
+		long periodMillis = Math.max(MIN_PERIOD_MILLIS, PERIOD_PER_PEER_MILLIS * this.peers.knownCount());
+		if (nowMillis >= this.nextExpiryMillis) {
+			this.nextExpiryMillis = nowMillis + periodMillis;
+			this.peers.expireSilent(nowMillis, periodMillis);
+			closeLinksToForgottenPeers();
 			publish(nowMillis);
 		}
-		List<String> due = this.rota.due(this.peers.addresses(), nowMillis, periodMillis)
+		List<String> due = this.schedule.due(this.peers.addresses(), nowMillis, periodMillis)
 			.stream()
-			.filter((address) -> this.peers.calls(address, nowMillis, periodMillis))
+			.filter((address) -> this.peers.shouldCall(address, nowMillis, periodMillis))
 			.toList();
 		if (due.isEmpty()) {
 			return;
@@ -158,7 +162,7 @@
 		GatewayReport report = this.ownReport.get();
 		GatewayReport listing = null;
 		for (String address : due) {
-			if (this.rota.turns(address) % TURNS_PER_LISTING != 1) {
+			if (this.schedule.callCount(address) % CALLS_PER_LISTING != 1) {
 				exchange(address, report);
 				continue;
 			}
@@ -169,7 +173,7 @@
 		}
 	}
 
-	private void closeLinksToForgotten() {
+	private void closeLinksToForgottenPeers() {
 		Set<String> known = Set.copyOf(this.peers.addresses());
 		this.links.forEach((address, link) -> {
 			if (!known.contains(address)) {
@@ -188,41 +192,40 @@
 				new Reply<>() {
 					@Override
 					public void received(GatewayReport answer) {
-						answered(address, answer, sentMillis);
+						handleAnswer(address, answer, sentMillis);
 					}
 
 					@Override
 					public void failed(Exception cause) {
-						// A silent peer is suspected by its age; nothing else follows
-						// from one
-						// lost call.
+						// One lost call has no effect. A peer is suspected only
+						// after a longer silence.
 					}
 				});
 		if (!sent) {
-			this.rota.again(address, sentMillis);
+			this.schedule.retryNow(address, sentMillis);
 		}
 	}
 
 	private ThriftLink<GatewayControl.AsyncClient> connect(String address) {
 		Optional<InetSocketAddress> parsed = Addresses.parse(address);
-		return this.calls.link(parsed.orElseThrow(), GatewayControl.AsyncClient::new, CALL_MILLIS);
+		return this.calls.link(parsed.orElseThrow(), GatewayControl.AsyncClient::new, CALL_TIMEOUT_MILLIS);
 	}
 
-	private void heard(GatewayReport report) {
+	private void handleReport(GatewayReport report) {
 		long nowMillis = this.clock.nowMillis();
-		this.peers.heard(report, nowMillis);
+		this.peers.acceptReport(report, nowMillis);
 		if (report.isSetLimits() && !report.getLimits().isEmpty()) {
 			this.consumers.limitsHeard(LimitMessages.words(report.getLimits(), nowMillis));
 		}
 		this.consumers.tableTold(report.getTableVersion(), report.getControlAddress());
 		fetchIfNewer(GatewayDocument.TABLE, report.getTableVersion(), report.getControlAddress());
-		fetchIfNewer(GatewayDocument.REGISTRY, registryChange(report), report.getControlAddress());
+		fetchIfNewer(GatewayDocument.REGISTRY, registryChangeRevision(report), report.getControlAddress());
 		publish(this.clock.nowMillis());
 	}
 
-	// The registry's revision moves with every object of the store, so that it does not
-	// tell who has a change of servers that another has not.
-	private long registryChange(GatewayReport report) {
+	// The revision of the registry increases with every change in the store. It therefore
+	// does not show whether a peer has a change of servers that this process lacks.
+	private long registryChangeRevision(GatewayReport report) {
 		return report.isSetClaims() ? report.getClaims()
 			.stream()
 			.filter((claim) -> claim.getPrefix().equals(this.documents.registryPrefix()))
@@ -231,9 +234,9 @@
 			.orElse(0) : 0;
 	}
 
-	private void fetchIfNewer(GatewayDocument kind, long theirRevision, String address) {
+	private void fetchIfNewer(GatewayDocument kind, long peerRevision, String address) {
 		long own = this.documents.revisionOf(kind);
-		if (!this.fetches.begin(kind, theirRevision, own, this.consumers.isStoreAway(), this.clock.nowMillis())) {
+		if (!this.fetches.tryBegin(kind, peerRevision, own, this.consumers.isStoreAway(), this.clock.nowMillis())) {
 			return;
 		}
 		ThriftLink<GatewayControl.AsyncClient> link = this.links.computeIfAbsent(address, this::connect);
@@ -241,7 +244,7 @@
 				new Reply<>() {
 					@Override
 					public void received(ConfigDocument document) {
-						PeerMesh.this.thread.offer(() -> fetched(kind, theirRevision, document, address));
+						PeerMesh.this.thread.offer(() -> handleFetched(kind, peerRevision, document, address));
 					}
 
 					@Override
@@ -256,36 +259,37 @@
 		}
 	}
 
-	private void fetched(GatewayDocument kind, long theirRevision, ConfigDocument document, String address) {
-		this.documents.take(kind, document, address);
-		this.fetches.ended(kind, theirRevision, this.documents.revisionOf(kind), this.clock.nowMillis());
+	private void handleFetched(GatewayDocument kind, long peerRevision, ConfigDocument document, String address) {
+		this.documents.accept(kind, document, address);
+		this.fetches.completed(kind, peerRevision, this.documents.revisionOf(kind), this.clock.nowMillis());
 	}
 
 	private void publish(long nowMillis) {
 		Set<String> live = Set.copyOf(this.peers.liveAddresses());
-		this.fleet.observe(this.peers.known(), live.size());
+		this.fleet.observe(this.peers.knownCount(), live.size());
 		this.view = new View(this.fleet.size(), Map.copyOf(this.peers.liveByName()), live,
-				this.peers.promptNames(nowMillis), this.peers.plannerFence(nowMillis), this.peers.confirmingNames());
-		this.consumers.peersChanged(this.peers.inFlight(nowMillis), this.peers.unheardFactor(nowMillis));
+				this.peers.recentNames(nowMillis), this.peers.plannerFence(nowMillis), this.peers.confirmingNames());
+		this.consumers.peersChanged(this.peers.inFlight(nowMillis), this.peers.unreportedFactor(nowMillis));
 	}
 
 	/**
-	 * Takes note of the platform's list of gateways.
-	 * @param addresses control addresses of all others in it
+	 * Processes the platform's list of gateways.
+	 * @param addresses the control addresses of all other gateways in the list
 	 */
 	public void listed(List<String> addresses) {
 		this.thread.offer(() -> {
 			this.fleet.listed(addresses.size());
-			addresses.forEach((address) -> this.peers.mayBeAt(address, this.clock.nowMillis()));
+			addresses.forEach((address) -> this.peers.addCandidate(address, this.clock.nowMillis()));
 		});
 	}
 
 	/**
-	 * Takes note of addresses at which peers may be.
-	 * @param addresses control addresses
+	 * Adds addresses at which there may be peers.
+	 * @param addresses the control addresses
 	 */
 	public void mayBeAt(List<String> addresses) {
-		this.thread.offer(() -> addresses.forEach((address) -> this.peers.mayBeAt(address, this.clock.nowMillis())));
+		this.thread
+			.offer(() -> addresses.forEach((address) -> this.peers.addCandidate(address, this.clock.nowMillis())));
 	}
 
 	@Override
@@ -295,18 +299,19 @@
 	}
 
 	/**
-	 * What is known of other gateways.
+	 * The state of the other gateways as this process sees it.
 	 *
-	 * @param fleetSize how many gateways there may be, this one and those out of reach
-	 * included; 0 before any other or the platform was heard
-	 * @param liveByName the control addresses of those that answer and do not leave, by
-	 * their names
-	 * @param liveAddresses the control addresses of those that answer
-	 * @param promptNames the names of those that were heard a moment ago and do not leave
-	 * @param plannerFence the newest fencing token with which one of them was heard a
-	 * moment ago to plan expert maps, 0 if none does
-	 * @param confirmingNames the names of those that answer, do not leave and reach the
-	 * store
+	 * @param fleetSize the estimated number of gateways, including this one and
+	 * unreachable ones; 0 until a peer or the platform has been heard from
+	 * @param liveByName the control addresses of the live gateways that are not leaving,
+	 * by name
+	 * @param liveAddresses the control addresses of the live gateways
+	 * @param promptNames the names of the gateways that have reported within the
+	 * planner's timeout and are not leaving
+	 * @param plannerFence the highest fencing token under which a gateway that has
+	 * reported within the planner's timeout plans expert maps, 0 if none does
+	 * @param confirmingNames the names of the live gateways that are not leaving and
+	 * reach the store
 	 */
 	public record View(int fleetSize, Map<String, String> liveByName, Set<String> liveAddresses,
 			Set<String> promptNames, long plannerFence, Set<String> confirmingNames) {
@@ -314,34 +319,35 @@
 	}
 
 	/**
-	 * Takes what peers say.
+	 * Receives what peers report.
 	 */
 	public interface Consumers {
 
 		/**
-		 * Tells whether the platform's store does not answer this process.
-		 * @return true if it does not
+		 * Returns whether the platform's store does not answer this process.
+		 * @return true if the store is unavailable
 		 */
 		boolean isStoreAway();
 
 		/**
-		 * A peer has told which route table it has in force.
+		 * Called when a peer has reported the version of the route table that it has in
+		 * force.
 		 * @param version the version
 		 * @param peer the peer's control address
 		 */
 		void tableTold(long version, String peer);
 
 		/**
-		 * Peers have reported.
-		 * @param inFlight their requests by server id
-		 * @param unheardFactor by how much more all peers may have than those that have
-		 * reported, 1 or more
+		 * Called when the in-flight requests of the peers may have changed.
+		 * @param inFlight the numbers of in-flight requests of all peers by server id
+		 * @param unreportedFactor the factor by which the in-flight requests of all peers
+		 * may exceed those of the peers that have reported, 1 or more
 		 */
-		void peersChanged(Map<String, Integer> inFlight, double unheardFactor);
+		void peersChanged(Map<String, Integer> inFlight, double unreportedFactor);
 
 		/**
-		 * A peer has told what servers say of their limits.
-		 * @param words their words, by the own clock
+		 * Called when a peer has relayed the limits that servers reported.
+		 * @param words the reported limits, with times by the own clock
 		 */
 		void limitsHeard(List<SharedLimits.Word> words);
 
--- a/gateway/src/main/java/org/snowwind/gateway/peer/PeerTable.java
+++ b/gateway/src/main/java/org/snowwind/gateway/peer/PeerTable.java
@@ -17,65 +17,75 @@
 import org.snowwind.wire.generated.GatewayReport;
 
 /**
- * What other gateways have told of themselves. Confined to one thread.
+ * The latest reports of the other gateways. Confined to one thread.
  */
 public final class PeerTable {
 
-	/** After this time without a word a peer counts as dead at least, in milliseconds. */
-	private static final long SILENCE_MILLIS = 1500;
+	/**
+	 * The minimum time without a report after which a peer is suspected to be dead, in
+	 * milliseconds.
+	 */
+	private static final long MIN_SILENCE_MILLIS = 1500;
 
-	/** The same in periods between reports, where these are long. */
+	/**
+	 * The same timeout in reporting periods, which applies where the periods are long.
+	 */
 	private static final int SILENCE_PERIODS = 3;
 
 	/**
-	 * After this time without a word from whoever plans expert maps another one does, in
-	 * milliseconds: a group that it has left held stands still until then, and two that
-	 * plan mix no maps, and the older one stops.
+	 * The minimum time without a report from the planner of expert maps after which
+	 * another gateway takes over, in milliseconds. It is short because a group that the
+	 * planner has left on hold does not run until then. A wrong takeover is safe: two
+	 * concurrent planners do not mix their maps, and the older one stops.
 	 */
-	private static final long PLANNER_SILENCE_MILLIS = 600;
+	private static final long MIN_PLANNER_SILENCE_MILLIS = 600;
 
-	/** The same in periods between reports, so that one may be lost. */
+	/** The same timeout in reporting periods; it allows for the loss of one report. */
 	private static final double PLANNER_SILENCE_PERIODS = 2.5;
 
 	/**
-	 * After so many periods without a word a peer that should call is called all the
-	 * same: it may not know of this process, or its way may be cut.
+	 * After this number of periods without a report, a peer is called although it should
+	 * call this process: it may not know of this process, or its calls may not get
+	 * through.
 	 */
-	private static final double CALL_PERIODS = 1.7;
+	private static final double MISSED_CALL_PERIODS = 1.7;
 
 	/**
-	 * A process that did not look at its peers for so long stood still itself, in
-	 * milliseconds: their silence says nothing then. A gateway that had been frozen for
-	 * 3.7 s took the planner's silence for its end, and the two dropped 24 of each
-	 * other's maps in the 13 s that followed.
+	 * The minimum delay of a check of the peers that counts as a stall of this process,
+	 * in milliseconds. The silence of peers during a stall does not show that they are
+	 * dead. Without this check, a gateway that had been frozen for 3.7 s considered the
+	 * planner dead, and the two dropped 24 of each other's maps in the following 13 s.
 	 */
-	private static final long OWN_STALL_MILLIS = 400;
+	private static final long MIN_OWN_STALL_MILLIS = 400;
 
-	/** After this time without a word a peer is forgotten, in milliseconds. */
+	/** The time without a report after which a peer is removed, in milliseconds. */
 	private static final long FORGET_MILLIS = 30_000;
 
 	/**
-	 * A peer that exists reports within this time of being heard of, in milliseconds; one
-	 * that does not is dead or cut off.
+	 * A live, reachable peer reports within this time after its address became known, in
+	 * milliseconds. A peer that does not is dead or unreachable.
 	 */
-	private static final long UNHEARD_MILLIS = 2000;
+	private static final long FIRST_REPORT_TIMEOUT_MILLIS = 2000;
 
-	/** Up to this age at least a report tells a peer's requests, in milliseconds. */
-	private static final long LOAD_LIFE_MILLIS = 2000;
+	/**
+	 * The in-flight requests in a report count at least until the report has this age, in
+	 * milliseconds.
+	 */
+	private static final long MIN_LOAD_VALIDITY_MILLIS = 2000;
 
 	private final String ownAddress;
 
-	private long silenceMillis = SILENCE_MILLIS;
+	private long silenceMillis = MIN_SILENCE_MILLIS;
 
-	private long plannerSilenceMillis = PLANNER_SILENCE_MILLIS;
+	private long plannerSilenceMillis = MIN_PLANNER_SILENCE_MILLIS;
 
 	private final Map<String, Peer> byAddress = new LinkedHashMap<>();
 
-	private long agedMillis = Long.MIN_VALUE;
+	private long lastCheckMillis = Long.MIN_VALUE;
 
 	/**
 	 * Creates a table without peers.
-	 * @param ownAddress the own control address
+	 * @param ownAddress the control address of this gateway
 	 */
 	public PeerTable(String ownAddress) {
 		this.ownAddress = ownAddress;
@@ -90,24 +100,24 @@
 	}
 
 	/**
-	 * Takes note of an address at which a peer may be.
-	 * @param address its control address
-	 * @param nowMillis the time, in milliseconds
+	 * Adds an address at which there may be a peer.
+	 * @param address the control address
+	 * @param nowMillis the current time, in milliseconds
 	 */
-	public void mayBeAt(String address, long nowMillis) {
+	public void addCandidate(String address, long nowMillis) {
 		if (!address.equals(this.ownAddress)) {
 			this.byAddress.computeIfAbsent(address, (key) -> new Peer(nowMillis));
 		}
 	}
 
 	/**
-	 * Takes a peer's report.
+	 * Applies the report of a peer.
 	 * @param report the report
-	 * @param nowMillis the time, in milliseconds
+	 * @param nowMillis the current time, in milliseconds
 	 */
-	public void heard(GatewayReport report, long nowMillis) {
-		mayBeAt(report.getControlAddress(), nowMillis);
-		report.getKnownGateways().forEach((address) -> mayBeAt(address, nowMillis));
+	public void acceptReport(GatewayReport report, long nowMillis) {
+		addCandidate(report.getControlAddress(), nowMillis);
+		report.getKnownGateways().forEach((address) -> addCandidate(address, nowMillis));
 		Peer peer = this.byAddress.get(report.getControlAddress());
 		if (peer == null) {
 			return;
@@ -117,36 +127,38 @@
 		}
 		peer.alive = true;
 		peer.report = report;
-		peer.heardMillis = nowMillis;
+		peer.lastHeardMillis = nowMillis;
 	}
 
 	/**
-	 * Suspects silent peers and forgets those that have been silent for long.
-	 * @param nowMillis the time, in milliseconds
-	 * @param periodMillis how often peers report, in milliseconds
+	 * Marks silent peers as suspected and removes those that have been silent for long.
+	 * @param nowMillis the current time, in milliseconds
+	 * @param periodMillis the period between reports, in milliseconds
 	 */
-	public void age(long nowMillis, long periodMillis) {
-		this.silenceMillis = Math.max(SILENCE_MILLIS, SILENCE_PERIODS * periodMillis);
-		this.plannerSilenceMillis = Math.max(PLANNER_SILENCE_MILLIS, (long) (PLANNER_SILENCE_PERIODS * periodMillis));
-		forgiveOwnStall(nowMillis, periodMillis);
+	public void expireSilent(long nowMillis, long periodMillis) {
+		this.silenceMillis = Math.max(MIN_SILENCE_MILLIS, SILENCE_PERIODS * periodMillis);
+		this.plannerSilenceMillis = Math.max(MIN_PLANNER_SILENCE_MILLIS,
+				(long) (PLANNER_SILENCE_PERIODS * periodMillis));
+		excludeOwnStall(nowMillis, periodMillis);
 		this.byAddress.values().forEach((peer) -> suspectIfSilent(peer, nowMillis));
-		this.byAddress.values().removeIf((peer) -> nowMillis - peer.heardMillis > FORGET_MILLIS);
+		this.byAddress.values().removeIf((peer) -> nowMillis - peer.lastHeardMillis > FORGET_MILLIS);
 	}
 
-	// Time in which this process stood still does not count as silence of others.
-	private void forgiveOwnStall(long nowMillis, long periodMillis) {
-		long stalledMillis = (this.agedMillis != Long.MIN_VALUE) ? nowMillis - this.agedMillis - periodMillis : 0;
-		this.agedMillis = nowMillis;
-		if (stalledMillis < OWN_STALL_MILLIS) {
+	// The time during which this process was stalled does not count as silence of peers.
+	private void excludeOwnStall(long nowMillis, long periodMillis) {
+		long stalledMillis = (this.lastCheckMillis != Long.MIN_VALUE) ? nowMillis - this.lastCheckMillis - periodMillis
+				: 0;
+		this.lastCheckMillis = nowMillis;
+		if (stalledMillis < MIN_OWN_STALL_MILLIS) {
 			return;
 		}
 		EventLog.log(Event.OWN_STALL, "stalledMillis", stalledMillis, "peers", this.byAddress.size());
 		this.byAddress.values()
-			.forEach((peer) -> peer.heardMillis = Math.min(nowMillis, peer.heardMillis + stalledMillis));
+			.forEach((peer) -> peer.lastHeardMillis = Math.min(nowMillis, peer.lastHeardMillis + stalledMillis));
 	}
 
 	private void suspectIfSilent(Peer peer, long nowMillis) {
-		long silentMillis = nowMillis - peer.heardMillis;
+		long silentMillis = nowMillis - peer.lastHeardMillis;
 		if (peer.alive && silentMillis > this.silenceMillis) {
 			peer.alive = false;
 			EventLog.log(Event.PEER_SUSPECTED, "peer", peer.report.getName(), "silentMillis", silentMillis);
@@ -154,7 +166,7 @@
 	}
 
 	/**
-	 * Lists where peers are or may be.
+	 * Returns the addresses of all known peers, live or not.
 	 * @return control addresses
 	 */
 	public List<String> addresses() {
@@ -162,7 +174,7 @@
 	}
 
 	/**
-	 * Lists where live peers are.
+	 * Returns the addresses of the live peers.
 	 * @return control addresses
 	 */
 	public List<String> liveAddresses() {
@@ -176,46 +188,48 @@
 	}
 
 	/**
-	 * Tells whether this process calls a peer in this round. One call brings word both
-	 * ways, so that of two that hear each other only one calls, the first by address:
-	 * half of the bytes between data centres that reports cost.
+	 * Returns whether this process calls a peer in this round. A call carries reports in
+	 * both directions, so of two gateways that receive each other's reports only the one
+	 * with the lower address calls. This halves the bytes that reports cost between data
+	 * centres.
 	 * @param address the peer's control address
-	 * @param nowMillis the time, in milliseconds
-	 * @param periodMillis how often peers report, in milliseconds
-	 * @return whether to call it
+	 * @param nowMillis the current time, in milliseconds
+	 * @param periodMillis the period between reports, in milliseconds
+	 * @return true if this process calls the peer
 	 */
-	public boolean calls(String address, long nowMillis, long periodMillis) {
+	public boolean shouldCall(String address, long nowMillis, long periodMillis) {
 		Peer peer = this.byAddress.get(address);
 		return peer == null || peer.report == null || this.ownAddress.compareTo(address) < 0
-				|| nowMillis - peer.heardMillis > CALL_PERIODS * periodMillis;
+				|| nowMillis - peer.lastHeardMillis > MISSED_CALL_PERIODS * periodMillis;
 	}
 
 	/**
-	 * Counts the peers that exist, those out of reach included.
-	 * @return how many peers were heard of in the last half minute
+	 * Returns the number of known peers, including unreachable ones.
+	 * @return the number of peers that reported or became known within the last half
+	 * minute
 	 */
-	public int known() {
+	public int knownCount() {
 		return this.byAddress.size();
 	}
 
 	/**
-	 * Tells how much of all requests the reports cover, as long as peers that were just
-	 * heard of have not reported yet.
-	 * @param nowMillis the time, in milliseconds
-	 * @return by how much to multiply what is known, 1 or more
+	 * Returns the factor that extrapolates the in-flight requests of peers that have
+	 * reported to those that became known recently and have not reported yet.
+	 * @param nowMillis the current time, in milliseconds
+	 * @return the factor for the known requests, 1 or more
 	 */
-	public double unheardFactor(long nowMillis) {
-		long heard = this.byAddress.values().stream().filter((peer) -> peer.report != null).count();
-		long unheard = this.byAddress.values()
+	public double unreportedFactor(long nowMillis) {
+		long reported = this.byAddress.values().stream().filter((peer) -> peer.report != null).count();
+		long unreported = this.byAddress.values()
 			.stream()
-			.filter((peer) -> peer.report == null && nowMillis - peer.heardMillis < UNHEARD_MILLIS)
+			.filter((peer) -> peer.report == null && nowMillis - peer.lastHeardMillis < FIRST_REPORT_TIMEOUT_MILLIS)
 			.count();
-		return (heard + 1.0 + unheard) / (heard + 1.0);
+		return (reported + 1.0 + unreported) / (reported + 1.0);
 	}
 
 	/**
-	 * Lists the live peers that do not leave.
-	 * @return their control addresses by their names, in order of these
+	 * Returns the live peers that are not leaving.
+	 * @return their control addresses by name, sorted by name
 	 */
 	public SortedMap<String, String> liveByName() {
 		SortedMap<String, String> live = new TreeMap<>();
@@ -228,8 +242,8 @@
 	}
 
 	/**
-	 * Lists the live peers that can confirm copies for others.
-	 * @return the names of those that do not leave and reach the store
+	 * Returns the live peers that can confirm copies for others.
+	 * @return the names of the peers that are not leaving and reach the store
 	 */
 	public Set<String> confirmingNames() {
 		return this.byAddress.values()
@@ -240,49 +254,51 @@
 	}
 
 	/**
-	 * Lists the live peers that do not leave.
-	 * @return their names, in order
+	 * Returns the names of the live peers that are not leaving.
+	 * @return the names, sorted
 	 */
 	public Set<String> liveNames() {
 		return liveByName().keySet();
 	}
 
 	/**
-	 * Tells the newest fencing token with which a peer plans expert maps.
-	 * @param nowMillis the time, in milliseconds
-	 * @return the highest token that was heard a moment ago, 0 if no peer plans
+	 * Returns the newest fencing token under which a peer plans expert maps.
+	 * @param nowMillis the current time, in milliseconds
+	 * @return the highest token that was reported within the planner's timeout, 0 if no
+	 * peer plans
 	 */
 	public long plannerFence(long nowMillis) {
-		return prompt(nowMillis).mapToLong((peer) -> peer.report.getExpertFence()).max().orElse(0);
+		return recentPeers(nowMillis).mapToLong((peer) -> peer.report.getExpertFence()).max().orElse(0);
 	}
 
 	/**
-	 * Lists the peers that may plan expert maps.
-	 * @param nowMillis the time, in milliseconds
-	 * @return the names of those that were heard a moment ago and do not leave, in order
+	 * Returns the peers that may plan expert maps.
+	 * @param nowMillis the current time, in milliseconds
+	 * @return the names of the peers that have reported within the planner's timeout and
+	 * are not leaving, sorted
 	 */
-	public Set<String> promptNames(long nowMillis) {
-		return prompt(nowMillis).filter((peer) -> !peer.report.isLeaving())
+	public Set<String> recentNames(long nowMillis) {
+		return recentPeers(nowMillis).filter((peer) -> !peer.report.isLeaving())
 			.map((peer) -> peer.report.getName())
 			.collect(Collectors.toCollection(TreeSet::new));
 	}
 
-	private Stream<Peer> prompt(long nowMillis) {
+	private Stream<Peer> recentPeers(long nowMillis) {
 		return this.byAddress.values()
 			.stream()
-			.filter((peer) -> peer.alive && nowMillis - peer.heardMillis <= this.plannerSilenceMillis);
+			.filter((peer) -> peer.alive && nowMillis - peer.lastHeardMillis <= this.plannerSilenceMillis);
 	}
 
 	/**
-	 * Adds up the requests that peers have at each server.
-	 * @param nowMillis the time, in milliseconds
-	 * @return numbers of requests by server id
+	 * Returns the in-flight requests of all peers at each server.
+	 * @param nowMillis the current time, in milliseconds
+	 * @return the numbers of requests by server id
 	 */
 	public Map<String, Integer> inFlight(long nowMillis) {
 		Map<String, Integer> sums = new HashMap<>();
-		long loadLifeMillis = Math.max(LOAD_LIFE_MILLIS, this.silenceMillis);
+		long loadValidityMillis = Math.max(MIN_LOAD_VALIDITY_MILLIS, this.silenceMillis);
 		for (Peer peer : this.byAddress.values()) {
-			if (peer.report != null && nowMillis - peer.heardMillis < loadLifeMillis) {
+			if (peer.report != null && nowMillis - peer.lastHeardMillis < loadValidityMillis) {
 				peer.report.getInFlight().forEach((server, requests) -> sums.merge(server, requests, Integer::sum));
 			}
 		}
@@ -290,18 +306,18 @@
 	}
 
 	/**
-	 * One peer.
+	 * The last report of one peer and its state.
 	 */
 	private static final class Peer {
 
-		private long heardMillis;
+		private long lastHeardMillis;
 
 		private boolean alive;
 
 		private GatewayReport report;
 
-		private Peer(long firstHeardOfMillis) {
-			this.heardMillis = firstHeardOfMillis;
+		private Peer(long discoveredMillis) {
+			this.lastHeardMillis = discoveredMillis;
 		}
 
 	}
--- a/gateway/src/main/java/org/snowwind/gateway/peer/StoreClaims.java
+++ b/gateway/src/main/java/org/snowwind/gateway/peer/StoreClaims.java
@@ -14,13 +14,16 @@
 import org.snowwind.wire.generated.GatewayReport;
 
 /**
- * Exchanges with peers what each has confirmed of the store's objects.
+ * Exchanges claims with peers about how recently each has confirmed its copies of the
+ * store's objects.
  *
  * <p>
- * A claim may have been under way for any time. An answer to a call was composed after
- * the call was sent. A call was composed, by this clock, no sooner than this process
- * composed the answer that the caller names in its stamp, and as much later as the caller
- * waited since. Reports are written on any thread; the rest is confined to one.
+ * A claim may have been in transit for any time, so a lower bound for the time at which
+ * it was composed is needed. An answer was composed after its call was sent. A call was
+ * composed no earlier than the moment at which this process composed the answer that the
+ * caller names in its stamp, plus the time that the caller measured since it received
+ * that answer. Claims are added to reports on any thread; all else is confined to one
+ * thread.
  */
 public final class StoreClaims {
 
@@ -30,14 +33,14 @@
 
 	private final MonotonicClock clock;
 
-	/** The last answer of each peer, by its address. */
-	private final Map<String, Heard> heard = new HashMap<>();
+	/** The last answer of each peer, by address. */
+	private final Map<String, LastAnswer> lastAnswers = new HashMap<>();
 
 	/**
-	 * Creates claims of which no peer knows.
-	 * @param copies the copies by the prefix of their keys
-	 * @param incarnation tells this process from others that had its address
-	 * @param clock tells the time
+	 * Creates the claims of a process that has not heard from a peer.
+	 * @param copies the freshness of each copy by the prefix of its keys
+	 * @param incarnation distinguishes this process from earlier ones at the same address
+	 * @param clock provides the current time
 	 */
 	public StoreClaims(Map<String, Freshness> copies, long incarnation, MonotonicClock clock) {
 		this.copies = Map.copyOf(copies);
@@ -46,29 +49,31 @@
 	}
 
 	/**
-	 * Adds to a report what this process may claim.
+	 * Adds the claims of this process to a report.
 	 * @param report the report
 	 */
 	public void write(GatewayReport report) {
-		// The clock is read first, so that no claim is older than it seems.
+		// The clock is read first, so that a peer does not underestimate the age of a
+		// claim.
 		report.setComposedMillis(this.clock.nowMillis());
 		List<CopyClaim> claims = new ArrayList<>();
 		this.copies.forEach((prefix, freshness) -> {
 			Optional<Freshness.Claim> claim = freshness.claim();
-			claim.ifPresent((made) -> claims
-				.add(new CopyClaim(prefix, made.changedRevision(), made.coveredRevision(), made.ageMillis())));
+			claim.ifPresent((present) -> claims
+				.add(new CopyClaim(prefix, present.changedRevision(), present.coveredRevision(), present.ageMillis())));
 		});
 		report.setClaims(claims);
 	}
 
 	/**
-	 * Returns what lets a peer tell when a report was composed.
+	 * Returns the stamp by which a peer determines when a report was composed.
 	 * @param address the peer's control address
 	 * @param report the report
-	 * @return the stamp, an empty one if the peer was not heard since the report
+	 * @return the stamp, an empty one if there is no answer of the peer or its last one
+	 * was received after the report was composed
 	 */
 	ExchangeStamp stamp(String address, GatewayReport report) {
-		Heard last = this.heard.get(address);
+		LastAnswer last = this.lastAnswers.get(address);
 		if (last == null || last.receivedMillis > report.getComposedMillis()) {
 			return new ExchangeStamp(0, 0, 0);
 		}
@@ -77,28 +82,29 @@
 	}
 
 	/**
-	 * Takes the answer to a call.
+	 * Applies the answer to a call.
 	 * @param address the peer's control address
 	 * @param answer the answer
 	 * @param sentMillis when the call was sent, in milliseconds
-	 * @param receivedMillis when the answer came, or later, in milliseconds
+	 * @param receivedMillis when the answer was received, or later, in milliseconds
 	 */
-	void answered(String address, GatewayReport answer, long sentMillis, long receivedMillis) {
-		this.heard.put(address, new Heard(answer.getIncarnation(), answer.getComposedMillis(), receivedMillis));
-		take(answer, sentMillis);
+	void acceptAnswer(String address, GatewayReport answer, long sentMillis, long receivedMillis) {
+		this.lastAnswers.put(address,
+				new LastAnswer(answer.getIncarnation(), answer.getComposedMillis(), receivedMillis));
+		applyClaims(answer, sentMillis);
 	}
 
 	/**
-	 * Takes the report of a call.
+	 * Applies the report in a call of a peer.
 	 * @param report the report
-	 * @param stamp lets this process tell when it was composed
+	 * @param stamp determines when the report was composed
 	 */
-	void called(GatewayReport report, ExchangeStamp stamp) {
-		boolean known = stamp != null && stamp.getIncarnation() == this.incarnation && stamp.getSinceMillis() >= 0;
-		take(report, known ? stamp.getComposedMillis() + stamp.getSinceMillis() : Long.MIN_VALUE);
+	void acceptCall(GatewayReport report, ExchangeStamp stamp) {
+		boolean verifiable = stamp != null && stamp.getIncarnation() == this.incarnation && stamp.getSinceMillis() >= 0;
+		applyClaims(report, verifiable ? stamp.getComposedMillis() + stamp.getSinceMillis() : Long.MIN_VALUE);
 	}
 
-	private void take(GatewayReport report, long madeMillis) {
+	private void applyClaims(GatewayReport report, long composedAfterMillis) {
 		if (!report.isSetClaims()) {
 			return;
 		}
@@ -106,27 +112,27 @@
 			Freshness freshness = this.copies.get(claim.getPrefix());
 			if (freshness != null) {
 				freshness.claimed(new Freshness.Claim(claim.getChangedRevision(), claim.getCoveredRevision(),
-						claim.getAgeMillis()), report.getControlAddress(), madeMillis);
+						claim.getAgeMillis()), report.getControlAddress(), composedAfterMillis);
 			}
 		}
 	}
 
 	/**
-	 * Forgets peers that are gone.
-	 * @param known the addresses of those that are not
+	 * Removes the peers that no longer exist.
+	 * @param known the addresses of the peers that still exist
 	 */
 	void retain(Set<String> known) {
-		this.heard.keySet().retainAll(known);
+		this.lastAnswers.keySet().retainAll(known);
 	}
 
 	/**
 	 * The last answer of a peer.
 	 *
 	 * @param incarnation the incarnation of the peer that composed it
-	 * @param composedMillis when, by the peer's clock, in milliseconds
-	 * @param receivedMillis when it came, in milliseconds
+	 * @param composedMillis when it was composed by the peer's clock, in milliseconds
+	 * @param receivedMillis when it was received, in milliseconds
 	 */
-	private record Heard(long incarnation, long composedMillis, long receivedMillis) {
+	private record LastAnswer(long incarnation, long composedMillis, long receivedMillis) {
 
 	}
 
--- a/gateway/src/main/java/org/snowwind/gateway/peer/package-info.java
+++ b/gateway/src/main/java/org/snowwind/gateway/peer/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Other gateways, and what they tell each other.
+ * The exchange of reports, documents and confirmations with the other gateways.
  */
 package org.snowwind.gateway.peer;
--- a/gateway/src/main/java/org/snowwind/gateway/registry/BackendEntry.java
+++ b/gateway/src/main/java/org/snowwind/gateway/registry/BackendEntry.java
@@ -3,25 +3,25 @@
 import com.fasterxml.jackson.annotation.JsonIgnoreProperties;
 
 /**
- * A backend server as it has registered itself.
+ * The registration of a backend server in the platform.
  *
- * @param id its id, which a restart may keep
- * @param bornMillis when it was started, in Unix milliseconds by its own clock;
- * {@link BackendRun#UNKNOWN} if it does not say
+ * @param id the id of the server, which may stay the same after a restart
+ * @param bornMillis the start time of the server, in Unix milliseconds by its own clock;
+ * {@link BackendRun#UNKNOWN} if it does not report one
  * @param service the service that it serves
- * @param host its IP number
+ * @param host its IP address
  * @param port its port
- * @param dataCentre where it stands
- * @param slots how many requests it runs at once
- * @param draining whether it takes no new work
+ * @param dataCentre the data centre that it runs in
+ * @param slots the number of requests that it runs concurrently
+ * @param draining whether it accepts no new requests
  */
 @JsonIgnoreProperties(ignoreUnknown = true)
 public record BackendEntry(String id, long bornMillis, String service, String host, int port, String dataCentre,
 		int slots, boolean draining) {
 
 	/**
-	 * Returns which life of the server has registered.
-	 * @return the life
+	 * Returns the incarnation of the server that has registered.
+	 * @return the incarnation
 	 */
 	public BackendRun run() {
 		return new BackendRun(this.id, this.bornMillis);
--- a/gateway/src/main/java/org/snowwind/gateway/registry/BackendRun.java
+++ b/gateway/src/main/java/org/snowwind/gateway/registry/BackendRun.java
@@ -1,36 +1,39 @@
 package org.snowwind.gateway.registry;
 
 /**
- * One life of a backend server: from a start to its end.
+ * One incarnation of a backend server: from a start of its process to the end of it.
  *
  * <p>
- * A server may start again under its id. It then holds nothing of before: no map, no
- * prepared experts, no order, no request. So all that is believed of a server belongs to
- * one life of it.
+ * A server may restart under the same id. It then has lost its state: its map, its
+ * prepared experts, its orders and its requests. Everything that is known about a server
+ * therefore applies to one incarnation only.
  *
  * @param id the server's id
- * @param bornMillis when it was started, in Unix milliseconds by its own clock;
- * {@link #UNKNOWN} if it does not say
+ * @param bornMillis the start time of the server, in Unix milliseconds by its own clock;
+ * {@link #UNKNOWN} if it does not report one
  */
 public record BackendRun(String id, long bornMillis) {
 
-	/** The start of a server that does not say when it was. */
+	/** The start time of a server that does not report one. */
 	public static final long UNKNOWN = 0;
 
 	/**
-	 * Names a server of which it is not known when it was started.
+	 * Returns an incarnation of a server whose start time is not known.
 	 * @param id the server's id
-	 * @return whichever life it has
+	 * @return an incarnation with an unknown start time, which may be any one of the
+	 * server
 	 */
 	public static BackendRun of(String id) {
 		return new BackendRun(id, UNKNOWN);
 	}
 
 	/**
-	 * Tells whether two may be the same life. Clocks step, so that a later life may have
-	 * the earlier start: any other start is another life.
-	 * @param other the other
-	 * @return false if the ids differ or both say different starts
+	 * Returns whether this and another may be the same incarnation. Clocks may be set
+	 * back, so a later incarnation may have the earlier start time. Any two different
+	 * known start times therefore mean different incarnations, but do not show which one
+	 * is later.
+	 * @param other the other incarnation
+	 * @return false if the ids differ, or if both start times are known and differ
 	 */
 	public boolean mayBe(BackendRun other) {
 		return this.id.equals(other.id)
--- a/gateway/src/main/java/org/snowwind/gateway/registry/Registry.java
+++ b/gateway/src/main/java/org/snowwind/gateway/registry/Registry.java
@@ -5,14 +5,14 @@
 import java.util.Map;
 
 /**
- * All backend servers as of one revision of the platform.
+ * The registered backend servers as of one revision of the platform.
  *
  * @param revision the platform's revision
  * @param servers the servers by id
  */
 public record Registry(long revision, Map<String, BackendEntry> servers) {
 
-	/** What is known at first: nothing. */
+	/** The empty registry that is in use until the first listing. */
 	public static final Registry NONE = new Registry(0, Map.of());
 
 	/**
@@ -24,7 +24,8 @@
 
 	/**
 	 * Lists the servers.
-	 * @return the servers in the order of their ids, so that equal draws choose alike
+	 * @return the servers sorted by id, so that equal random numbers choose the same
+	 * server
 	 */
 	public List<BackendEntry> list() {
 		return this.servers.values().stream().sorted(Comparator.comparing(BackendEntry::id)).toList();
--- a/gateway/src/main/java/org/snowwind/gateway/registry/RegistryDecoder.java
+++ b/gateway/src/main/java/org/snowwind/gateway/registry/RegistryDecoder.java
@@ -4,22 +4,22 @@
 import org.snowwind.gateway.table.DocumentException;
 
 /**
- * Reads a backend server from the form in which the platform keeps it.
+ * Decodes a backend server from the format in which the platform stores it.
  */
 public interface RegistryDecoder {
 
 	/**
-	 * Returns the start of the keys below which servers register.
+	 * Returns the prefix of the keys under which servers register.
 	 * @return the prefix, which ends with a slash
 	 */
 	String prefix();
 
 	/**
-	 * Reads a server.
-	 * @param id its id
+	 * Decodes a server.
+	 * @param id the id of the server
 	 * @param document the object's value
 	 * @return the server
-	 * @throws DocumentException if the document is no server
+	 * @throws DocumentException if the document is not a valid server
 	 */
 	BackendEntry decode(String id, JsonNode document) throws DocumentException;
 
--- a/gateway/src/main/java/org/snowwind/gateway/registry/RegistryHolder.java
+++ b/gateway/src/main/java/org/snowwind/gateway/registry/RegistryHolder.java
@@ -5,7 +5,7 @@
 import java.util.function.Consumer;
 
 /**
- * Holds the newest registry and never goes back to an older one.
+ * Holds the newest registry and rejects older ones.
  */
 public final class RegistryHolder {
 
@@ -22,7 +22,8 @@
 	}
 
 	/**
-	 * Asks to be told of each registry with other servers.
+	 * Registers a listener for registries whose servers differ from those of the previous
+	 * one.
 	 * @param listener called on the thread that offers the registry
 	 */
 	public void onChange(Consumer<Registry> listener) {
@@ -30,9 +31,9 @@
 	}
 
 	/**
-	 * Takes a registry unless one as new is held.
+	 * Replaces the current registry, unless the offered one is older or equal.
 	 * @param registry the registry
-	 * @return true if it is held from now on
+	 * @return true if the registry was replaced
 	 */
 	public synchronized boolean offer(Registry registry) {
 		boolean older = registry.revision() < this.current.revision();
--- a/gateway/src/main/java/org/snowwind/gateway/registry/RegistryView.java
+++ b/gateway/src/main/java/org/snowwind/gateway/registry/RegistryView.java
@@ -5,12 +5,13 @@
 import java.util.Map;
 
 /**
- * Keeps the registry up to date, and for a while the servers that lapsed while the
- * platform was away. Confined to one thread.
+ * Keeps the registry up to date. After an outage of the platform it keeps, for a grace
+ * period, the servers whose entries have lapsed. Confined to one thread.
  *
  * <p>
- * A server that could not renew its entry while the platform was away is back in it
- * shortly after the platform's return, so that its absence means nothing before.
+ * A server that could not renew its entry during an outage registers again shortly after
+ * the platform has recovered. Until then a missing entry does not mean that the server is
+ * gone.
  */
 public final class RegistryView {
 
@@ -25,85 +26,85 @@
 	private long graceUntilMillis = Long.MIN_VALUE;
 
 	/**
-	 * Creates a view that knows no server.
-	 * @param graceMillis how long after the platform's return an absent server is kept,
-	 * in milliseconds
+	 * Creates a view without servers.
+	 * @param graceMillis the time for which missing servers are kept after the platform
+	 * has recovered, in milliseconds
 	 */
 	public RegistryView(long graceMillis) {
 		this.graceMillis = graceMillis;
 	}
 
 	/**
-	 * Takes note that the platform has returned.
-	 * @param nowMillis the time, in milliseconds
+	 * Starts the grace period after the platform has recovered from an outage.
+	 * @param nowMillis the current time, in milliseconds
 	 */
-	public void platformReturned(long nowMillis) {
+	public void platformRecovered(long nowMillis) {
 		this.graceUntilMillis = nowMillis + this.graceMillis;
 	}
 
 	/**
-	 * Takes a whole listing.
-	 * @param listedRevision its revision
+	 * Replaces all registered servers by those of a listing.
+	 * @param listedRevision the revision of the listing
 	 * @param servers all registered servers
-	 * @param nowMillis the time, in milliseconds
+	 * @param nowMillis the current time, in milliseconds
 	 */
-	public void listed(long listedRevision, List<BackendEntry> servers, long nowMillis) {
+	public void replaceAll(long listedRevision, List<BackendEntry> servers, long nowMillis) {
 		Map<String, BackendEntry> before = new HashMap<>(this.registered);
 		this.registered.clear();
 		servers.forEach((server) -> this.registered.put(server.id(), server));
 		this.lapsed.keySet().removeAll(this.registered.keySet());
 		this.revision = Math.max(this.revision, listedRevision);
 		before.keySet().removeAll(this.registered.keySet());
-		before.values().forEach((server) -> absent(server, nowMillis));
+		before.values().forEach((server) -> retainDuringGrace(server, nowMillis));
 	}
 
 	/**
-	 * Takes a changed server.
+	 * Adds or updates a server.
 	 * @param server the server
 	 */
-	public void changed(BackendEntry server) {
+	public void put(BackendEntry server) {
 		this.registered.put(server.id(), server);
 		this.lapsed.remove(server.id());
 	}
 
 	/**
-	 * Takes a removed server.
-	 * @param id its id
-	 * @param nowMillis the time, in milliseconds
+	 * Removes a server, or keeps it as lapsed during the grace period.
+	 * @param id the id of the server
+	 * @param nowMillis the current time, in milliseconds
 	 */
-	public void removed(String id, long nowMillis) {
+	public void remove(String id, long nowMillis) {
 		BackendEntry server = this.registered.remove(id);
 		if (server != null) {
-			absent(server, nowMillis);
+			retainDuringGrace(server, nowMillis);
 		}
 	}
 
-	private void absent(BackendEntry server, long nowMillis) {
+	private void retainDuringGrace(BackendEntry server, long nowMillis) {
 		if (nowMillis < this.graceUntilMillis && !server.draining()) {
 			this.lapsed.put(server.id(), server);
 		}
 	}
 
 	/**
-	 * Takes note of how far changes are known.
+	 * Advances the revision up to which all changes are known.
 	 * @param knownRevision the platform's revision
 	 */
-	public void knownUpTo(long knownRevision) {
+	public void advanceRevision(long knownRevision) {
 		this.revision = Math.max(this.revision, knownRevision);
 	}
 
 	/**
-	 * Tells whether servers are kept that are not registered.
-	 * @return true if the registry changes when the grace ends
+	 * Returns whether servers are kept that are no longer registered.
+	 * @return true if the registry changes at the end of the grace period
 	 */
-	public boolean keepsLapsed() {
+	public boolean hasLapsedServers() {
 		return !this.lapsed.isEmpty();
 	}
 
 	/**
 	 * Returns the registry.
-	 * @param nowMillis the time, in milliseconds
-	 * @return the registered servers, and the lapsed ones while the grace lasts
+	 * @param nowMillis the current time, in milliseconds
+	 * @return the registered servers, and the lapsed ones during the grace period
 	 */
 	public Registry registry(long nowMillis) {
 		if (nowMillis >= this.graceUntilMillis) {
--- a/gateway/src/main/java/org/snowwind/gateway/registry/RegistryWatcher.java
+++ b/gateway/src/main/java/org/snowwind/gateway/registry/RegistryWatcher.java
@@ -14,7 +14,8 @@
 import org.snowwind.store.WatchResult;
 
 /**
- * Takes backend servers from the platform. Confined to the watch's thread.
+ * Watches the platform for backend servers and publishes the registry. Confined to the
+ * thread of the watch.
  */
 public final class RegistryWatcher implements StoreWatch.Listener {
 
@@ -26,14 +27,14 @@
 
 	private final MonotonicClock clock;
 
-	private final UnreadableEntries unreadable = new UnreadableEntries();
+	private final UnreadableEntries unreadableEntries = new UnreadableEntries();
 
 	/**
 	 * Creates the watcher.
-	 * @param decoder reads servers
-	 * @param view keeps them up to date
-	 * @param holder takes the registry
-	 * @param clock tells the time
+	 * @param decoder decodes servers
+	 * @param view keeps the servers up to date
+	 * @param holder receives the registry
+	 * @param clock provides the current time
 	 */
 	public RegistryWatcher(RegistryDecoder decoder, RegistryView view, RegistryHolder holder, MonotonicClock clock) {
 		this.decoder = decoder;
@@ -45,9 +46,9 @@
 	@Override
 	public void listed(ListResult.Listed listing) {
 		List<BackendEntry> servers = new ArrayList<>();
-		this.unreadable.retain(listing.objects().stream().map(this::idOf).toList());
+		this.unreadableEntries.retainOnly(listing.objects().stream().map(this::idOf).toList());
 		listing.objects().forEach((object) -> decode(object).ifPresent(servers::add));
-		this.view.listed(listing.revision(), servers, this.clock.nowMillis());
+		this.view.replaceAll(listing.revision(), servers, this.clock.nowMillis());
 		publish();
 	}
 
@@ -57,19 +58,19 @@
 		for (StoredObject object : changes.objects()) {
 			Optional<BackendEntry> server = object.deleted() ? Optional.empty() : decode(object);
 			if (object.deleted()) {
-				this.unreadable.readable(idOf(object));
+				this.unreadableEntries.clear(idOf(object));
 			}
-			server.ifPresentOrElse(this.view::changed, () -> this.view.removed(idOf(object), nowMillis));
+			server.ifPresentOrElse(this.view::put, () -> this.view.remove(idOf(object), nowMillis));
 		}
-		this.view.knownUpTo(changes.revision());
+		this.view.advanceRevision(changes.revision());
 		publish();
 	}
 
 	/**
-	 * Drops servers whose grace has ended.
+	 * Drops the servers whose grace period has ended.
 	 */
 	public void expire() {
-		if (this.view.keepsLapsed()) {
+		if (this.view.hasLapsedServers()) {
 			publish();
 		}
 	}
@@ -91,33 +92,34 @@
 	@Override
 	public void back() {
 		EventLog.log(Event.PLATFORM_BACK);
-		this.view.platformReturned(this.clock.nowMillis());
+		this.view.platformRecovered(this.clock.nowMillis());
 	}
 
 	private String idOf(StoredObject object) {
 		return object.key().substring(this.decoder.prefix().length());
 	}
 
-	// An entry may come from another writer. One that cannot be read names no server,
-	// whatever it said before; the others hold.
+	// Entries may be written by programs other than the servers. An entry that cannot be
+	// decoded counts as no server, even if it was valid before. The other entries are not
+	// affected.
 	private Optional<BackendEntry> decode(StoredObject object) {
 		try {
 			BackendEntry server = this.decoder.decode(idOf(object), object.value());
-			this.unreadable.readable(idOf(object));
+			this.unreadableEntries.clear(idOf(object));
 			return Optional.of(server);
 		}
 		catch (DocumentException ex) {
-			this.unreadable.unreadable(idOf(object), ex.getMessage());
+			this.unreadableEntries.recordUnreadable(idOf(object), ex.getMessage());
 			return Optional.empty();
 		}
 	}
 
 	/**
-	 * Counts the entries that cannot be read as they stand now.
-	 * @return a number of entries, bounded
+	 * Returns the number of entries whose current value cannot be decoded.
+	 * @return the number of entries, bounded by the limit on remembered entries
 	 */
 	public int unreadable() {
-		return this.unreadable.count();
+		return this.unreadableEntries.count();
 	}
 
 }
--- a/gateway/src/main/java/org/snowwind/gateway/registry/UnreadableEntries.java
+++ b/gateway/src/main/java/org/snowwind/gateway/registry/UnreadableEntries.java
@@ -9,62 +9,68 @@
 import org.snowwind.model.event.EventLog;
 
 /**
- * Remembers which entries cannot be read, so that each is logged once for each reason,
- * however often it is written. One thread changes it, any may count.
+ * Remembers which entries cannot be decoded, so that each is logged once for each reason,
+ * however often it is written. Only one thread may change it; any thread may call
+ * {@link #count()}.
  */
 final class UnreadableEntries {
 
 	/**
-	 * So many entries are remembered, and beyond them none is logged: a writer that makes
-	 * up names must not fill the memory or the log of those who read.
+	 * The maximum number of entries that are remembered. Further ones are neither
+	 * remembered nor logged, so that a writer that invents names cannot fill the memory
+	 * or the log of the readers.
 	 */
-	static final int MOST = 200;
+	static final int MAX_ENTRIES = 200;
 
-	/** Names of entries and reasons are cut to so many characters in the log. */
-	private static final int MOST_CHARS = 120;
+	/**
+	 * The maximum length of entry names and reasons, in characters; longer ones are
+	 * truncated.
+	 */
+	private static final int MAX_LOGGED_CHARS = 120;
 
-	private final Map<String, String> reasonsByName = new ConcurrentHashMap<>();
+	private final Map<String, String> reasonsByEntry = new ConcurrentHashMap<>();
 
 	/**
-	 * Takes note of an entry that cannot be read.
-	 * @param name its name
-	 * @param reason why
+	 * Records an entry that cannot be decoded, and logs it if the reason is new.
+	 * @param name the name of the entry
+	 * @param reason why it cannot be decoded
 	 */
-	void unreadable(String name, String reason) {
-		String key = cut(name);
-		String told = cut(reason);
-		boolean room = this.reasonsByName.containsKey(key) || this.reasonsByName.size() < MOST;
-		if (room && !told.equals(this.reasonsByName.put(key, told))) {
-			EventLog.log(Event.SERVER_UNREADABLE, "server", key, "reason", told);
+	void recordUnreadable(String name, String reason) {
+		String key = truncate(name);
+		String loggedReason = truncate(reason);
+		boolean hasCapacity = this.reasonsByEntry.containsKey(key) || this.reasonsByEntry.size() < MAX_ENTRIES;
+		if (hasCapacity && !loggedReason.equals(this.reasonsByEntry.put(key, loggedReason))) {
+			EventLog.log(Event.SERVER_UNREADABLE, "server", key, "reason", loggedReason);
 		}
 	}
 
 	/**
-	 * Takes note of an entry that can be read or is gone.
-	 * @param name its name
+	 * Removes an entry that can be decoded again or no longer exists.
+	 * @param name the name of the entry
 	 */
-	void readable(String name) {
-		this.reasonsByName.remove(cut(name));
+	void clear(String name) {
+		this.reasonsByEntry.remove(truncate(name));
 	}
 
 	/**
-	 * Forgets all entries but those that there are.
-	 * @param names the names of all entries
+	 * Removes the entries that no longer exist.
+	 * @param names the names of all existing entries
 	 */
-	void retain(Collection<String> names) {
-		this.reasonsByName.keySet().retainAll(names.stream().map(UnreadableEntries::cut).collect(Collectors.toSet()));
+	void retainOnly(Collection<String> names) {
+		this.reasonsByEntry.keySet()
+			.retainAll(names.stream().map(UnreadableEntries::truncate).collect(Collectors.toSet()));
 	}
 
 	/**
-	 * Counts the entries.
-	 * @return how many cannot be read, {@value #MOST} at most
+	 * Returns the number of remembered entries.
+	 * @return the number of entries that cannot be decoded, at most {@value #MAX_ENTRIES}
 	 */
 	int count() {
-		return this.reasonsByName.size();
+		return this.reasonsByEntry.size();
 	}
 
-	private static String cut(String text) {
-		return (text.length() > MOST_CHARS) ? text.substring(0, MOST_CHARS) : text;
+	private static String truncate(String text) {
+		return (text.length() > MAX_LOGGED_CHARS) ? text.substring(0, MAX_LOGGED_CHARS) : text;
 	}
 
 }
--- a/gateway/src/main/java/org/snowwind/gateway/registry/package-info.java
+++ b/gateway/src/main/java/org/snowwind/gateway/registry/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Which backend servers there are, and how that is learnt.
+ * The registry of backend servers, and how it is kept up to date.
  */
 package org.snowwind.gateway.registry;
--- a/gateway/src/main/java/org/snowwind/gateway/table/DocumentException.java
+++ b/gateway/src/main/java/org/snowwind/gateway/table/DocumentException.java
@@ -1,7 +1,8 @@
 package org.snowwind.gateway.table;
 
 /**
- * A document of the platform cannot be understood; what was in force stays.
+ * Thrown if a document cannot be decoded. A route table that was in force before stays in
+ * force; a backend server whose entry cannot be decoded counts as not registered.
  */
 public final class DocumentException extends Exception {
 
@@ -9,7 +10,7 @@
 
 	/**
 	 * Creates the exception.
-	 * @param message what is wrong with which field
+	 * @param message the invalid field and what is wrong with it
 	 */
 	public DocumentException(String message) {
 		super(message);
@@ -18,7 +19,7 @@
 	/**
 	 * Creates the exception.
 	 * @param message what is wrong
-	 * @param cause what was thrown
+	 * @param cause the exception that caused this one
 	 */
 	public DocumentException(String message, Throwable cause) {
 		super(message, cause);
--- a/gateway/src/main/java/org/snowwind/gateway/table/EngineProfile.java
+++ b/gateway/src/main/java/org/snowwind/gateway/table/EngineProfile.java
@@ -1,23 +1,26 @@
 package org.snowwind.gateway.table;
 
 /**
- * How fast the model engines of a service are, by the operator's word.
+ * The performance parameters of a service's model engines, as configured by the operator.
  *
- * @param slots how many requests one engine runs at once
- * @param memoryTokens how many tokens fit in one engine's memory
- * @param stepsPerPass how many token steps one pass of a group takes
- * @param stepMillis the time of a step of an empty group, in milliseconds
- * @param perRequestMillis what each running request adds to a step, in milliseconds
- * @param perThousandContextMillis what each thousand tokens of context add to a step, in
+ * @param slots the number of requests that one engine runs concurrently
+ * @param memoryTokens the number of tokens that fit in one engine's memory
+ * @param stepsPerPass the number of token steps in one pass of a group
+ * @param stepMillis the duration of a step of a group without requests, in milliseconds
+ * @param perRequestMillis the time that each running request adds to a step, in
  * milliseconds
- * @param promptTokensPerSecond how many prompt tokens are read in a second
- * @param expertSets how many sets of experts there are; 0 for engines without experts
- * @param experts how many experts a set has
- * @param placesPerRank how many experts of one set fit on a rank
- * @param newExpertsPerMap how many experts of a set may be new to a rank in one map
+ * @param perThousandContextMillis the time that each thousand tokens of context add to a
+ * step, in milliseconds
+ * @param promptTokensPerSecond the number of prompt tokens processed per second
+ * @param expertSets the number of expert sets; 0 for engines without experts
+ * @param experts the number of experts in a set
+ * @param placesPerRank the number of experts of one set that fit on a rank
+ * @param newExpertsPerMap the maximum number of experts of a set that one map may add to
+ * a rank
  * @param expertMegabytes the size of one expert, in megabytes
- * @param linkMegabitsPerSecond how fast experts are copied
- * @param expertShare the part of a step's work that the experts do
+ * @param linkMegabitsPerSecond the bandwidth at which experts are copied, in megabits per
+ * second
+ * @param expertShare the fraction of a step's work that the experts do
  */
 public record EngineProfile(int slots, long memoryTokens, int stepsPerPass, double stepMillis, double perRequestMillis,
 		double perThousandContextMillis, double promptTokensPerSecond, int expertSets, int experts, int placesPerRank,
@@ -28,15 +31,15 @@
 	private static final double MILLIS_PER_SECOND = 1000;
 
 	/**
-	 * Tells whether ranks of a group share experts.
-	 * @return true if they do
+	 * Returns whether the experts are distributed over the ranks of a group.
+	 * @return true if the engines have experts
 	 */
 	public boolean hasExperts() {
 		return this.expertSets > 0 && this.experts > 0 && this.placesPerRank > 0;
 	}
 
 	/**
-	 * Returns how long the copy of one expert takes.
+	 * Returns the time that copying one expert takes.
 	 * @return the time, in milliseconds
 	 */
 	public double copyMillis() {
--- a/gateway/src/main/java/org/snowwind/gateway/table/KeyHolder.java
+++ b/gateway/src/main/java/org/snowwind/gateway/table/KeyHolder.java
@@ -1,10 +1,11 @@
 package org.snowwind.gateway.table;
 
 /**
- * The organisation that holds a key.
+ * The organisation to which an API key belongs.
  *
- * @param organisation its name
- * @param priority its rank, which goes before the route's; -1 if it has none
+ * @param organisation the name of the organisation
+ * @param priority the priority of its requests, which overrides that of the route; -1 if
+ * none is configured
  */
 public record KeyHolder(String organisation, int priority) {
 
--- a/gateway/src/main/java/org/snowwind/gateway/table/Repeat.java
+++ b/gateway/src/main/java/org/snowwind/gateway/table/Repeat.java
@@ -1,14 +1,14 @@
 package org.snowwind.gateway.table;
 
 /**
- * How often the requests of a route may run.
+ * Whether the requests of a route may run more than once.
  */
 public enum Repeat {
 
 	/** A request may run any number of times. */
 	IDEMPOTENT,
 
-	/** A request may run once at most. */
+	/** A request may run at most once. */
 	AT_MOST_ONCE,
 
 	/** A request is answered by a stream of numbered events. */
--- a/gateway/src/main/java/org/snowwind/gateway/table/RequestLimits.java
+++ b/gateway/src/main/java/org/snowwind/gateway/table/RequestLimits.java
@@ -1,10 +1,11 @@
 package org.snowwind.gateway.table;
 
 /**
- * What a caller may send.
+ * Limits on the requests and connections of callers.
  *
- * @param maxBodyBytes the largest body, in bytes
- * @param idleTimeoutMillis how long a connection may stay idle, in milliseconds
+ * @param maxBodyBytes the maximum size of a request body, in bytes
+ * @param idleTimeoutMillis the time after which an idle connection is closed, in
+ * milliseconds
  */
 public record RequestLimits(int maxBodyBytes, long idleTimeoutMillis) {
 
--- a/gateway/src/main/java/org/snowwind/gateway/table/Route.java
+++ b/gateway/src/main/java/org/snowwind/gateway/table/Route.java
@@ -4,21 +4,22 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Where requests of one host below one path go, and how.
+ * Defines which services handle the requests to one host and path prefix, and how these
+ * requests are sent.
  *
- * @param name its name
- * @param host the host, lower case
- * @param pathPrefix the start of the path, with a slash at both ends
- * @param repeat how often its requests may run
- * @param timeoutMillis the longest that a caller is kept waiting, in milliseconds
- * @param targetMillis within which an answer or a stream's first event is on time, in
+ * @param name the name of the route
+ * @param host the host, in lower case
+ * @param pathPrefix the path prefix, with a slash at both ends
+ * @param repeat whether its requests may run more than once
+ * @param timeoutMillis the maximum time that a caller is kept waiting, in milliseconds
+ * @param targetMillis the latency target of an answer or of a stream's first event, in
  * milliseconds
- * @param pauseTargetMillis the longest pause between events of a stream that is on time,
- * in milliseconds; 0 if it has none
- * @param priority its rank, 0 is the highest
- * @param maxAttempts how many servers may run one request
+ * @param pauseTargetMillis the target for the maximum pause between events of a stream,
+ * in milliseconds; 0 if there is none
+ * @param priority the priority of its requests; 0 is the highest
+ * @param maxAttempts the maximum number of servers that may run one request
  * @param open whether requests need no key
- * @param resumable whether a stream may go on at another server
+ * @param resumable whether a stream may be resumed at another server
  * @param shares the services and their weights, at least one
  */
 public record Route(String name, String host, String pathPrefix, Repeat repeat, long timeoutMillis, long targetMillis,
@@ -32,38 +33,39 @@
 	}
 
 	/**
-	 * Tells whether a request may be sent again after it may have begun.
-	 * @return true if it may
+	 * Returns whether a request may be sent again although a server may have begun to run
+	 * it.
+	 * @return true if the request may be repeated
 	 */
 	public boolean repeatable() {
 		return this.repeat == Repeat.IDEMPOTENT || (this.repeat == Repeat.STREAM && this.resumable);
 	}
 
 	/**
-	 * Draws the service of one request by the weights.
-	 * @param random the source of chance
+	 * Chooses the service of one request at random, in proportion to the weights.
+	 * @param random the source of randomness
 	 * @return the service's name
 	 */
-	public String drawService(RandomGenerator random) {
+	public String chooseService(RandomGenerator random) {
 		int total = this.shares.stream().mapToInt(Share::weight).sum();
 		if (total <= 0) {
 			return this.shares.get(0).service();
 		}
-		int drawn = random.nextInt(total);
+		int remainder = random.nextInt(total);
 		for (Share share : this.shares) {
-			drawn -= share.weight();
-			if (drawn < 0) {
+			remainder -= share.weight();
+			if (remainder < 0) {
 				return share.service();
 			}
 		}
-		throw new IllegalStateException("a number below the sum of weights falls into one of them");
+		throw new IllegalStateException("a number below the sum of the weights selects no service");
 	}
 
 	/**
 	 * One service of a route.
 	 *
-	 * @param service its name
-	 * @param weight its part of the requests, relative to the others' weights
+	 * @param service the name of the service
+	 * @param weight its share of the requests, relative to the weights of the others
 	 */
 	public record Share(String service, int weight) {
 
--- a/gateway/src/main/java/org/snowwind/gateway/table/RouteTable.java
+++ b/gateway/src/main/java/org/snowwind/gateway/table/RouteTable.java
@@ -9,17 +9,17 @@
 import java.util.stream.Collectors;
 
 /**
- * Everything that an operator has configured, as of one version. Immutable.
+ * One version of the configuration that an operator has set. Immutable.
  */
 public final class RouteTable {
 
-	private static final Comparator<Route> LONGEST_FIRST = Comparator
+	private static final Comparator<Route> LONGEST_PREFIX_FIRST = Comparator
 		.comparingInt((Route route) -> -route.pathPrefix().length());
 
-	private static final RequestLimits NO_LIMITS = new RequestLimits(1 << 20, 15_000);
+	private static final RequestLimits INITIAL_LIMITS = new RequestLimits(1 << 20, 15_000);
 
-	/** What is in force before the first version is known: nothing. */
-	public static final RouteTable NONE = new RouteTable(0, List.of(), Map.of(), Map.of(), NO_LIMITS, new byte[0]);
+	/** The empty table that is in force until the first version is known. */
+	public static final RouteTable NONE = new RouteTable(0, List.of(), Map.of(), Map.of(), INITIAL_LIMITS, new byte[0]);
 
 	private final long version;
 
@@ -35,18 +35,18 @@
 
 	/**
 	 * Creates a table.
-	 * @param version the operator's version
+	 * @param version the version that the operator assigned
 	 * @param routes all routes
 	 * @param services the services by name
-	 * @param keys who holds each key; empty if requests need none
-	 * @param limits what callers may send
-	 * @param document the table as it stands in the platform, to be relayed to peers
+	 * @param keys the holder of each API key; empty if requests need none
+	 * @param limits the limits on requests and connections of callers
+	 * @param document the table as the platform stores it, to be relayed to peers
 	 */
 	public RouteTable(long version, List<Route> routes, Map<String, ServiceEntry> services, Map<String, KeyHolder> keys,
 			RequestLimits limits, byte[] document) {
 		this.version = version;
 		this.routesByHost = routes.stream()
-			.sorted(LONGEST_FIRST)
+			.sorted(LONGEST_PREFIX_FIRST)
 			.collect(Collectors.groupingBy(Route::host, Collectors.toUnmodifiableList()));
 		this.services = Map.copyOf(services);
 		this.keys = Map.copyOf(keys);
@@ -56,17 +56,18 @@
 
 	/**
 	 * Returns the version.
-	 * @return the operator's version, 0 before the first one
+	 * @return the version that the operator assigned, 0 before the first one
 	 */
 	public long version() {
 		return this.version;
 	}
 
 	/**
-	 * Finds the route of a request: of its host's routes the one with the longest prefix.
+	 * Finds the route of a request, which is the one with the longest matching prefix
+	 * among the routes of its host.
 	 * @param host the host as the caller sent it
 	 * @param path the path without its query
-	 * @return the route, empty if none fits
+	 * @return the route, empty if none matches
 	 */
 	public Optional<Route> route(String host, String path) {
 		List<Route> routes = this.routesByHost.getOrDefault(hostName(host), List.of());
@@ -83,7 +84,7 @@
 	}
 
 	/**
-	 * Tells whether requests need a key.
+	 * Returns whether requests need an API key.
 	 * @return true if organisations are configured
 	 */
 	public boolean keysNeeded() {
@@ -91,9 +92,9 @@
 	}
 
 	/**
-	 * Finds who holds a key.
+	 * Finds the holder of an API key.
 	 * @param key the key
-	 * @return the organisation, empty if nobody holds it
+	 * @return the organisation, empty if the key belongs to none
 	 */
 	public Optional<KeyHolder> holderOf(String key) {
 		return Optional.ofNullable(this.keys.get(key));
@@ -101,7 +102,7 @@
 
 	/**
 	 * Finds a service.
-	 * @param name its name
+	 * @param name the name of the service
 	 * @return the service, empty if there is none
 	 */
 	public Optional<ServiceEntry> service(String name) {
@@ -109,13 +110,13 @@
 	}
 
 	/**
-	 * Draws the service of one request.
+	 * Chooses the service of one request at random, in proportion to the weights.
 	 * @param route the request's route
-	 * @param random the source of chance
-	 * @return the service; one that is not configured has no engine
+	 * @param random the source of randomness
+	 * @return the service; a service that is not configured has no engine profile
 	 */
 	public ServiceEntry target(Route route, RandomGenerator random) {
-		String name = route.drawService(random);
+		String name = route.chooseService(random);
 		return service(name).orElseGet(() -> new ServiceEntry(name, null));
 	}
 
@@ -128,7 +129,7 @@
 	}
 
 	/**
-	 * Returns what callers may send.
+	 * Returns the limits on requests and connections of callers.
 	 * @return the limits
 	 */
 	public RequestLimits limits() {
@@ -136,16 +137,16 @@
 	}
 
 	/**
-	 * Returns the table as it stands in the platform.
-	 * @return a copy of the text
+	 * Returns the table as the platform stores it.
+	 * @return a copy of the encoded table
 	 */
 	public byte[] document() {
 		return this.document.clone();
 	}
 
 	/**
-	 * Counts the routes.
-	 * @return how many there are
+	 * Returns the number of routes.
+	 * @return the number of routes of all hosts
 	 */
 	public int routes() {
 		return this.routesByHost.values().stream().mapToInt(List::size).sum();
--- a/gateway/src/main/java/org/snowwind/gateway/table/ServiceEntry.java
+++ b/gateway/src/main/java/org/snowwind/gateway/table/ServiceEntry.java
@@ -1,10 +1,10 @@
 package org.snowwind.gateway.table;
 
 /**
- * A service that routes lead to.
+ * A service to which routes send requests.
  *
- * @param name its name
- * @param engine how fast its engines are; {@code null} for a plain service
+ * @param name the name of the service
+ * @param engine the performance of its engines; {@code null} for a plain service
  */
 public record ServiceEntry(String name, EngineProfile engine) {
 
--- a/gateway/src/main/java/org/snowwind/gateway/table/TableDecoder.java
+++ b/gateway/src/main/java/org/snowwind/gateway/table/TableDecoder.java
@@ -3,21 +3,21 @@
 import com.fasterxml.jackson.databind.JsonNode;
 
 /**
- * Reads a route table from the form in which the platform keeps it.
+ * Decodes a route table from the format in which the platform stores it.
  */
 public interface TableDecoder {
 
 	/**
-	 * Returns the key of the object that holds the table.
+	 * Returns the key of the stored object that contains the table.
 	 * @return the key
 	 */
 	String key();
 
 	/**
-	 * Reads a table.
+	 * Decodes a table.
 	 * @param document the object's value
 	 * @return the table
-	 * @throws DocumentException if the document is no table
+	 * @throws DocumentException if the document is not a valid table
 	 */
 	RouteTable decode(JsonNode document) throws DocumentException;
 
--- a/gateway/src/main/java/org/snowwind/gateway/table/TableFreshness.java
+++ b/gateway/src/main/java/org/snowwind/gateway/table/TableFreshness.java
@@ -6,15 +6,20 @@
 import org.snowwind.store.Freshness;
 
 /**
- * How certain it is that the route table in force is the newest one: its age, and the
- * newest version that a peer has told. Thread-safe.
+ * Tracks whether the route table in force may be stale: the time since the platform
+ * confirmed it, and the newest version that a peer has reported. Thread-safe.
  */
 public final class TableFreshness {
 
-	/** News of a change reach gateways one by one; less than this is no delay. */
-	private static final long LOGGED_BEHIND_MILLIS = 500;
+	/**
+	 * A change reaches the gateways at different times, so a shorter lag is not logged.
+	 */
+	private static final long BEHIND_LOG_THRESHOLD_MILLIS = 500;
 
-	/** News that a peer has are here within this part of the bound. */
+	/**
+	 * A table that a peer has arrives within the bound divided by this number, so callers
+	 * may retry after that time.
+	 */
 	private static final int RETRIES_PER_BOUND = 4;
 
 	private final TableHolder tables;
@@ -25,20 +30,20 @@
 
 	private final MonotonicClock clock;
 
-	private long toldVersion;
+	private long newestPeerVersion;
 
-	private String toldBy = "";
+	private String newestPeerAddress = "";
 
-	private long toldMillis;
+	private long behindSinceMillis;
 
-	private long loggedVersion;
+	private long lastLoggedVersion;
 
 	/**
-	 * Creates the freshness of a table of which no peer has told.
-	 * @param tables holds the table in force
-	 * @param confirmations as of when the platform confirmed it
-	 * @param boundMillis for how long it may be unconfirmed, in milliseconds
-	 * @param clock tells the time
+	 * Creates the freshness of a table before any peer has reported a version.
+	 * @param tables the holder of the table in force
+	 * @param confirmations when the platform last confirmed the table
+	 * @param boundMillis the time for which the table may be unconfirmed, in milliseconds
+	 * @param clock provides the current time
 	 */
 	public TableFreshness(TableHolder tables, Freshness confirmations, long boundMillis, MonotonicClock clock) {
 		this.tables = tables;
@@ -55,69 +60,73 @@
 	public synchronized void told(long version, String peer) {
 		long nowMillis = this.clock.nowMillis();
 		long inForce = this.tables.current().version();
-		if (version > this.toldVersion) {
-			// A gateway that was behind already has been so since the first such version.
-			this.toldMillis = (this.toldVersion > inForce) ? this.toldMillis : nowMillis;
-			this.toldVersion = version;
-			this.toldBy = peer;
+		if (version > this.newestPeerVersion) {
+			// If this gateway was already behind, it has been since the first newer
+			// version.
+			this.behindSinceMillis = (this.newestPeerVersion > inForce) ? this.behindSinceMillis : nowMillis;
+			this.newestPeerVersion = version;
+			this.newestPeerAddress = peer;
 		}
-		long behindMillis = nowMillis - this.toldMillis;
-		if (this.toldVersion > Math.max(inForce, this.loggedVersion) && behindMillis >= LOGGED_BEHIND_MILLIS) {
-			this.loggedVersion = this.toldVersion;
-			EventLog.log(Event.TABLE_BEHIND, "version", inForce, "toldVersion", this.toldVersion, "toldBy", this.toldBy,
-					"behindMillis", behindMillis, "unconfirmedMillis", this.confirmations.unconfirmedMillis());
+		long behindMillis = nowMillis - this.behindSinceMillis;
+		if (this.newestPeerVersion > Math.max(inForce, this.lastLoggedVersion)
+				&& behindMillis >= BEHIND_LOG_THRESHOLD_MILLIS) {
+			this.lastLoggedVersion = this.newestPeerVersion;
+			EventLog.log(Event.TABLE_BEHIND, "version", inForce, "toldVersion", this.newestPeerVersion, "toldBy",
+					this.newestPeerAddress, "behindMillis", behindMillis, "unconfirmedMillis",
+					this.confirmations.unconfirmedMillis());
 		}
 	}
 
 	/**
-	 * Returns what is known now.
+	 * Returns the current state.
 	 * @return the state
 	 */
 	public synchronized State state() {
 		long inForce = this.tables.current().version();
-		boolean behind = this.toldVersion > inForce;
-		return new State(inForce, this.confirmations.unconfirmedMillis(), this.toldVersion, this.toldBy,
-				behind ? this.clock.nowMillis() - this.toldMillis : 0);
+		boolean behind = this.newestPeerVersion > inForce;
+		return new State(inForce, this.confirmations.unconfirmedMillis(), this.newestPeerVersion,
+				this.newestPeerAddress, behind ? this.clock.nowMillis() - this.behindSinceMillis : 0);
 	}
 
 	/**
-	 * Tells whether what the table in force does not allow is refused for good. A caller
-	 * does not come back after that, so that it must not be told by a table that may be
-	 * an older one.
-	 * @return true if nothing says that there is a newer table, and the table was
-	 * confirmed in time
+	 * Returns whether a request that the table in force does not allow gets a final
+	 * refusal. A caller does not retry after a final refusal, so a table that may be
+	 * stale must not produce one.
+	 * @return true if no newer table is expected and the table was confirmed within the
+	 * bound
 	 */
 	public boolean isRefusalFinal() {
 		State state = state();
-		// A newer version that stays unseen while the platform confirms is a false one.
+		// If a reported version does not arrive within the bound although the platform
+		// confirms the table in force, the report was wrong.
 		boolean newerExpected = state.isBehind() && state.behindMillis() <= this.boundMillis;
 		return !newerExpected && state.unconfirmedMillis() <= this.boundMillis;
 	}
 
 	/**
-	 * Returns when a caller may come back whose refusal is not final.
-	 * @return the time until then, in milliseconds
+	 * Returns the time after which a caller may retry if its refusal is not final.
+	 * @return the delay, in milliseconds
 	 */
 	public long retryMillis() {
 		return this.boundMillis / RETRIES_PER_BOUND;
 	}
 
 	/**
-	 * What is known of the table in force.
+	 * The freshness of the table in force at one moment.
 	 *
-	 * @param version its version
-	 * @param unconfirmedMillis for how long nothing has confirmed that it is the newest,
-	 * in milliseconds
-	 * @param toldVersion the newest version that a peer has told, 0 if none did
-	 * @param toldBy the peer that told it first, empty if none did
-	 * @param behindMillis since when a peer has had a newer one, in milliseconds; 0 if
-	 * none has
+	 * @param version the version of the table in force
+	 * @param unconfirmedMillis the time since the table was last confirmed to be the
+	 * newest, in milliseconds
+	 * @param toldVersion the newest version that a peer has reported, 0 if none has
+	 * @param toldBy the address of the peer that reported it first, empty if none has
+	 * @param behindMillis the time since a peer first reported a newer version, in
+	 * milliseconds; 0 if no peer has reported one
 	 */
 	public record State(long version, long unconfirmedMillis, long toldVersion, String toldBy, long behindMillis) {
 
 		/**
-		 * Tells whether a peer has a newer table.
-		 * @return true if one has told so
+		 * Returns whether a peer has reported a newer table.
+		 * @return true if a peer has reported a newer version than the one in force
 		 */
 		public boolean isBehind() {
 			return this.toldVersion > this.version;
--- a/gateway/src/main/java/org/snowwind/gateway/table/TableHolder.java
+++ b/gateway/src/main/java/org/snowwind/gateway/table/TableHolder.java
@@ -8,7 +8,7 @@
 import org.snowwind.model.event.EventLog;
 
 /**
- * Holds the table in force and never goes back to an older one.
+ * Holds the table in force and rejects tables that are not newer.
  */
 public final class TableHolder {
 
@@ -25,7 +25,7 @@
 	}
 
 	/**
-	 * Asks to be told of each newer table.
+	 * Registers a listener for newer tables.
 	 * @param listener called on the thread that offers the table
 	 */
 	public void onChange(Consumer<RouteTable> listener) {
@@ -33,10 +33,10 @@
 	}
 
 	/**
-	 * Puts a table in force unless one as new is.
+	 * Puts a table in force if it is newer than the current one.
 	 * @param table the table
-	 * @param source where it was learnt, for the log
-	 * @return true if it is in force from now on
+	 * @param source where the table came from, for the log
+	 * @return true if the table was put in force
 	 */
 	public synchronized boolean offer(RouteTable table, String source) {
 		if (table.version() <= this.current.version()) {
--- a/gateway/src/main/java/org/snowwind/gateway/table/TableWatcher.java
+++ b/gateway/src/main/java/org/snowwind/gateway/table/TableWatcher.java
@@ -11,7 +11,7 @@
 import org.snowwind.store.WatchResult;
 
 /**
- * Takes route tables from the platform.
+ * Watches the platform for route tables and offers them to the holder.
  */
 public final class TableWatcher implements StoreWatch.Listener {
 
@@ -21,8 +21,8 @@
 
 	/**
 	 * Creates the watcher.
-	 * @param decoder reads tables
-	 * @param holder takes them
+	 * @param decoder decodes tables
+	 * @param holder receives the decoded tables
 	 */
 	public TableWatcher(TableDecoder decoder, TableHolder holder) {
 		this.decoder = decoder;
@@ -31,15 +31,15 @@
 
 	@Override
 	public void listed(ListResult.Listed listing) {
-		take(listing.objects());
+		offerTables(listing.objects());
 	}
 
 	@Override
 	public void changed(WatchResult.Changes changes) {
-		take(changes.objects());
+		offerTables(changes.objects());
 	}
 
-	private void take(List<StoredObject> objects) {
+	private void offerTables(List<StoredObject> objects) {
 		for (StoredObject object : objects) {
 			if (this.decoder.key().equals(object.key()) && !object.deleted()) {
 				offer(object.value(), "platform");
@@ -48,9 +48,9 @@
 	}
 
 	/**
-	 * Offers a table to the holder; one that cannot be read is logged and left out.
-	 * @param document the table as it stands in the platform
-	 * @param source where it was learnt, for the log
+	 * Offers a table to the holder. A table that cannot be decoded is logged and ignored.
+	 * @param document the table as the platform stores it
+	 * @param source where the table came from, for the log
 	 */
 	public void offer(JsonNode document, String source) {
 		try {
--- a/gateway/src/main/java/org/snowwind/gateway/table/package-info.java
+++ b/gateway/src/main/java/org/snowwind/gateway/table/package-info.java
@@ -1,4 +1,4 @@
 /**
- * The routes, services, keys and limits in force, and how they come in force.
+ * The routes, services, keys and limits in force, and how new versions are applied.
  */
 package org.snowwind.gateway.table;
--- a/gateway/src/test/java/org/snowwind/gateway/peer/ConfirmationRankTests.java
+++ b/gateway/src/test/java/org/snowwind/gateway/peer/ConfirmationRankTests.java
@@ -27,14 +27,14 @@
 	}
 
 	@Test
-	void allGatewaysAgreeOnTheirRanks() {
+	void gatewaysComputeDistinctRanksWithoutCoordination() {
 		Set<Integer> ranks = new HashSet<>();
 		names().forEach((name) -> ranks.add(rank(name, "config/")));
 		assertThat(ranks).hasSize(GATEWAYS).contains(0, GATEWAYS - 1);
 	}
 
 	@Test
-	void aGatewayThatHearsNobodyIsFirst() {
+	void gatewayWithoutPeersRanksFirst() {
 		assertThat(new ConfirmationRank("g1", Set::of).of("config/")).isZero();
 	}
 
--- a/gateway/src/test/java/org/snowwind/gateway/peer/FleetSizeTests.java
+++ b/gateway/src/test/java/org/snowwind/gateway/peer/FleetSizeTests.java
@@ -12,19 +12,19 @@
 	private final FleetSize fleet = new FleetSize();
 
 	@Test
-	void whoWasJustStartedDoesNotTakeItselfForTheOnlyOne() {
+	void startedGatewayWithoutLivePeersReportsUnknownSize() {
 		this.fleet.observe(3, 0);
 		assertThat(this.fleet.size()).isEqualTo(FleetSize.UNKNOWN);
 	}
 
 	@Test
-	void whoIsAloneInThePlatformsListIsAlone() {
+	void gatewayAloneInPlatformListHasSizeOne() {
 		this.fleet.listed(0);
 		assertThat(this.fleet.size()).isEqualTo(1);
 	}
 
 	@Test
-	void whoIsCutOffGoesOnCountingTheOthers() {
+	void partitionedGatewayKeepsCountingOthers() {
 		this.fleet.observe(6, 6);
 		this.fleet.observe(6, 0);
 		this.fleet.observe(0, 0);
@@ -33,21 +33,21 @@
 	}
 
 	@Test
-	void othersThatAreGoneAreForgottenWhileMostAreHeard() {
+	void sizeDecreasesWhileMajorityIsLive() {
 		this.fleet.observe(6, 6);
 		this.fleet.observe(4, 4);
 		assertThat(this.fleet.size()).isEqualTo(5);
 	}
 
 	@Test
-	void thoseThatWereHeardOfCountBeforeTheyAreHeard() {
+	void knownPeersCountBeforeTheyAreLive() {
 		this.fleet.observe(2, 1);
 		this.fleet.observe(6, 1);
 		assertThat(this.fleet.size()).isEqualTo(7);
 	}
 
 	@Test
-	void aListDoesNotLowerWhatIsKnown() {
+	void platformListDoesNotDecreaseSize() {
 		this.fleet.observe(6, 6);
 		this.fleet.listed(2);
 		assertThat(this.fleet.size()).isEqualTo(7);
--- a/gateway/src/test/java/org/snowwind/gateway/peer/FreshnessModel.java
+++ b/gateway/src/test/java/org/snowwind/gateway/peer/FreshnessModel.java
@@ -26,8 +26,8 @@
 import org.snowwind.wire.generated.GatewayReport;
 
 /**
- * Plays gateways that follow a linearizable store and exchange reports, in virtual time.
- * All faults end at a given moment.
+ * Simulates gateways that watch a linearizable store and exchange reports, in virtual
+ * time. All faults end at a given time.
  */
 final class FreshnessModel {
 
@@ -47,10 +47,10 @@
 
 	private static final int CHANGES = 20;
 
-	/** Changes are made for so long after the last fault. */
+	/** The time after the last fault during which changes are still made. */
 	private static final long LAST_CHANGE_MILLIS = 1500;
 
-	/** All gateways have a listing by then. */
+	/** The earliest time of a fault; by then all gateways have received a listing. */
 	private static final long FIRST_FAULT_MILLIS = 2000;
 
 	private final ManualClock clock = new ManualClock(0);
@@ -83,9 +83,9 @@
 		}
 		this.addresses.forEach((address) -> at(between(0, scenario.startWithinMillis()), () -> start(address, 1)));
 		for (Fault fault : scenario.faults()) {
-			draw(fault);
+			scheduleFault(fault);
 		}
-		drawChanges();
+		scheduleChanges();
 	}
 
 	Result run() {
@@ -140,36 +140,38 @@
 		}
 	}
 
-	private Set<String> drawAddresses() {
+	private Set<String> chooseAddresses() {
 		double share = (this.random.nextInt(3) == 0) ? 1 : this.random.nextDouble();
-		Set<String> drawn = new LinkedHashSet<>(this.addresses);
-		drawn.removeIf((address) -> this.random.nextDouble() >= share);
-		return drawn;
+		Set<String> chosen = new LinkedHashSet<>(this.addresses);
+		chosen.removeIf((address) -> this.random.nextDouble() >= share);
+		return chosen;
 	}
 
-	private void atDrawn(long millis, Consumer<Gateway> action) {
-		drawAddresses().forEach((address) -> at(millis, () -> action.accept(this.fleet.get(address))));
+	private void atChosenGateways(long millis, Consumer<Gateway> action) {
+		chooseAddresses().forEach((address) -> at(millis, () -> action.accept(this.fleet.get(address))));
 	}
 
-	private void draw(Fault fault) {
+	private void scheduleFault(Fault fault) {
 		long endMillis = this.scenario.faultsEndMillis();
 		long fromMillis = between(FIRST_FAULT_MILLIS, endMillis - 500);
 		long untilMillis = (this.random.nextInt(3) > 0) ? endMillis : between(fromMillis, endMillis);
 		switch (fault) {
-			case SILENT_CONNECTIONS -> drawSilence(endMillis);
+			case SILENT_CONNECTIONS -> scheduleSilentConnections(endMillis);
 			case SLOW_STORE -> {
 				this.slowFromMillis = fromMillis;
 				this.slowUntilMillis = untilMillis;
 			}
-			case STORE_SILENT, STORE_FAILING -> atDrawn(fromMillis, (gateway) -> {
-				gateway.cutUntilMillis = untilMillis;
-				gateway.failsAtOnce = fault == Fault.STORE_FAILING;
+			case STORE_SILENT, STORE_FAILING -> atChosenGateways(fromMillis, (gateway) -> {
+				gateway.storeCutUntilMillis = untilMillis;
+				gateway.failsImmediately = fault == Fault.STORE_FAILING;
 				gateway.silenceOpenCalls();
 			});
-			case FROZEN -> atDrawn(between(fromMillis, untilMillis),
+			case FROZEN -> atChosenGateways(between(fromMillis, untilMillis),
 					(gateway) -> gateway.frozenUntilMillis = Math.min(endMillis, now() + between(200, 6000)));
-			case PEERS_CUT -> atDrawn(fromMillis, (gateway) -> gateway.heldUntilMillis = untilMillis);
-			case NONSENSE, HUGE_AGE -> at(fromMillis, () -> this.fleet.get(this.addresses.get(0)).nonsense = true);
+			case PEER_MESSAGES_DELAYED ->
+				atChosenGateways(fromMillis, (gateway) -> gateway.messagesDelayedUntilMillis = untilMillis);
+			case INVALID_CLAIMS, HUGE_AGE ->
+				at(fromMillis, () -> this.fleet.get(this.addresses.get(0)).sendsInvalidClaims = true);
 			case RESTARTS -> {
 				int count = 1 + this.random.nextInt(Math.max(1, this.scenario.gateways() / 4));
 				for (int i = 0; i < count; i++) {
@@ -188,22 +190,22 @@
 		}
 	}
 
-	private void drawSilence(long endMillis) {
+	private void scheduleSilentConnections(long endMillis) {
 		int count = this.random.nextBoolean() ? 1 : 1 + this.random.nextInt(8);
 		for (int i = 0; i < count; i++) {
-			atDrawn(between(FIRST_FAULT_MILLIS, endMillis), Gateway::silenceOpenCalls);
+			atChosenGateways(between(FIRST_FAULT_MILLIS, endMillis), Gateway::silenceOpenCalls);
 		}
 		if (this.random.nextBoolean()) {
 			at(endMillis, () -> eachGateway(Gateway::silenceOpenCalls));
 		}
 	}
 
-	private void drawChanges() {
+	private void scheduleChanges() {
 		long lastMillis = this.scenario.faultsEndMillis() + LAST_CHANGE_MILLIS;
 		for (int i = 0; i < this.scenario.changes(); i++) {
 			at(between(FIRST_FAULT_MILLIS, lastMillis), this.store::change);
 		}
-		if (this.scenario.faults().contains(Fault.STORM)) {
+		if (this.scenario.faults().contains(Fault.CHANGE_BURST)) {
 			long fromMillis = between(FIRST_FAULT_MILLIS, lastMillis);
 			for (int i = 0; i < 12; i++) {
 				at(between(fromMillis, fromMillis + 1000), this.store::change);
@@ -212,26 +214,26 @@
 	}
 
 	/**
-	 * What goes wrong until the end of faults.
+	 * The kinds of faults, which occur until the end of all faults.
 	 */
 	enum Fault {
 
-		SILENT_CONNECTIONS, SLOW_STORE, STORE_SILENT, STORE_FAILING, FROZEN, PEERS_CUT, NONSENSE, HUGE_AGE, RESTARTS,
-		GAPS, STORM
+		SILENT_CONNECTIONS, SLOW_STORE, STORE_SILENT, STORE_FAILING, FROZEN, PEER_MESSAGES_DELAYED, INVALID_CLAIMS,
+		HUGE_AGE, RESTARTS, GAPS, CHANGE_BURST
 
 	}
 
 	/**
-	 * What is played.
+	 * The parameters of a simulation.
 	 *
-	 * @param gateways how many gateways
-	 * @param boundMillis for how long a copy may be unconfirmed, in milliseconds
-	 * @param faults what goes wrong
+	 * @param gateways the number of gateways
+	 * @param boundMillis the time for which a copy may be unconfirmed, in milliseconds
+	 * @param faults the kinds of faults that occur
 	 * @param faultsEndMillis when the last fault ends, in milliseconds
-	 * @param changes how many changes are made besides those of a storm
+	 * @param changes the number of changes besides those of a change burst
 	 * @param startWithinMillis the time within which all gateways start, in milliseconds
-	 * @param countFromMillis from when calls are counted, in milliseconds
-	 * @param endMillis when the play ends, in milliseconds
+	 * @param countFromMillis the time from which calls are counted, in milliseconds
+	 * @param endMillis when the simulation ends, in milliseconds
 	 */
 	record Scenario(int gateways, long boundMillis, Set<Fault> faults, long faultsEndMillis, int changes,
 			long startWithinMillis, long countFromMillis, long endMillis) {
@@ -249,51 +251,51 @@
 	}
 
 	/**
-	 * What came of it.
+	 * The result of a simulation.
 	 */
 	static final class Result {
 
 		private final Map<String, Integer> calls = new HashMap<>();
 
-		private final List<String> unsound = new ArrayList<>();
+		private final List<String> falseConfirmations = new ArrayList<>();
 
-		private final List<String> unsoundBeforeListing = new ArrayList<>();
+		private final List<String> falseConfirmationsBeforeListing = new ArrayList<>();
 
-		private long latestMillis;
+		private long maxDelayMillis;
 
-		private String latest = "";
+		private String slowestChange = "";
 
-		int mostCalls() {
+		int maxCalls() {
 			return this.calls.values().stream().mapToInt(Integer::intValue).max().orElse(0);
 		}
 
-		List<String> unsound() {
-			return this.unsound;
+		List<String> falseConfirmations() {
+			return this.falseConfirmations;
 		}
 
-		List<String> unsoundBeforeListing() {
-			return this.unsoundBeforeListing;
+		List<String> falseConfirmationsBeforeListing() {
+			return this.falseConfirmationsBeforeListing;
 		}
 
-		long latestMillis() {
-			return this.latestMillis;
+		long maxDelayMillis() {
+			return this.maxDelayMillis;
 		}
 
-		String latest() {
-			return this.latest;
+		String slowestChange() {
+			return this.slowestChange;
 		}
 
-		private void held(long lateMillis, String what) {
-			if (lateMillis > this.latestMillis) {
-				this.latestMillis = lateMillis;
-				this.latest = what;
+		private void recordDelay(long changeDelayMillis, String description) {
+			if (changeDelayMillis > this.maxDelayMillis) {
+				this.maxDelayMillis = changeDelayMillis;
+				this.slowestChange = description;
 			}
 		}
 
 	}
 
 	/**
-	 * An action at a moment; those at the same moment run in random order.
+	 * An action at a given time. Actions at the same time run in random order.
 	 */
 	private record Task(long atMillis, int tie, long order, Runnable action) implements Comparable<Task> {
 
@@ -315,7 +317,7 @@
 	}
 
 	/**
-	 * Answers each call by the changes that it has when the answer is composed.
+	 * Answers each call with the changes that exist when the answer is composed.
 	 */
 	private final class Store {
 
@@ -339,7 +341,7 @@
 			List<Waiter> woken = List.copyOf(waiting);
 			waiting.clear();
 			woken.forEach((waiter) -> waiter.call.respond(changesAfter(prefix, waiter.afterRevision)));
-			eachGateway((gateway) -> gateway.copies.forEach((copy) -> copy.await(change)));
+			eachGateway((gateway) -> gateway.copies.forEach((copy) -> copy.expect(change)));
 		}
 
 		private WatchResult.Changes changesAfter(String prefix, long afterRevision) {
@@ -395,8 +397,8 @@
 		}
 
 		private void send(long timeoutMillis, Object failure, Runnable request) {
-			boolean cut = now() < this.gateway.cutUntilMillis;
-			if (cut && this.gateway.failsAtOnce) {
+			boolean cut = now() < this.gateway.storeCutUntilMillis;
+			if (cut && this.gateway.failsImmediately) {
 				this.gateway.later(between(0, 2), () -> this.future.complete(failure));
 				return;
 			}
@@ -427,7 +429,8 @@
 	}
 
 	/**
-	 * A copy of the objects below one prefix, and what it has yet to hold.
+	 * A copy of the objects under one prefix, and the changes that it does not contain
+	 * yet.
 	 */
 	private final class Copy implements StoreWatch.Listener {
 
@@ -454,10 +457,10 @@
 			this.watch = new StoreWatch(gateway, prefix, new StoreWatch.Pace(WAIT_MILLIS, GATHER_MILLIS, schedule),
 					this, this.freshness, gateway.clock, new Random(FreshnessModel.this.random.nextLong()));
 			this.watch.onAnswer(() -> gateway.later(0, this::round));
-			FreshnessModel.this.store.changes.forEach(this::await);
+			FreshnessModel.this.store.changes.forEach(this::expect);
 		}
 
-		private void await(Change change) {
+		private void expect(Change change) {
 			if (change.prefix.equals(this.prefix)) {
 				this.missing.add(change);
 			}
@@ -478,26 +481,26 @@
 			this.listed = true;
 			this.objects.clear();
 			listing.objects().forEach((object) -> this.objects.put(object.key(), object));
-			this.missing.removeIf((change) -> isHeld(change, listing.revision()));
+			this.missing.removeIf((change) -> recordIfContained(change, listing.revision()));
 		}
 
 		@Override
 		public void changed(WatchResult.Changes changes) {
 			changes.objects().forEach((object) -> this.objects.put(object.key(), object));
-			this.missing.removeIf((change) -> isHeld(change, 0));
+			this.missing.removeIf((change) -> recordIfContained(change, 0));
 		}
 
-		private boolean isHeld(Change change, long listedRevision) {
+		private boolean recordIfContained(Change change, long listedRevision) {
 			StoredObject object = this.objects.get(change.object.key());
-			boolean held = (object != null) ? object.revision() >= change.object.revision()
+			boolean contained = (object != null) ? object.revision() >= change.object.revision()
 					: change.object.revision() <= listedRevision;
-			if (held) {
-				FreshnessModel.this.result.held(lateMillis(change), describe(change));
+			if (contained) {
+				FreshnessModel.this.result.recordDelay(changeDelayMillis(change), describe(change));
 			}
-			return held;
+			return contained;
 		}
 
-		private long lateMillis(Change change) {
+		private long changeDelayMillis(Change change) {
 			return now() - Math.max(change.ackedMillis, FreshnessModel.this.scenario.faultsEndMillis());
 		}
 
@@ -508,8 +511,8 @@
 			long confirmedMillis = now() - this.freshness.unconfirmedMillis();
 			for (Change change : this.missing) {
 				if (change.ackedMillis < confirmedMillis) {
-					List<String> found = this.listed ? FreshnessModel.this.result.unsound
-							: FreshnessModel.this.result.unsoundBeforeListing;
+					List<String> found = this.listed ? FreshnessModel.this.result.falseConfirmations
+							: FreshnessModel.this.result.falseConfirmationsBeforeListing;
 					found.add(describe(change) + ", confirmed as of " + confirmedMillis);
 					return;
 				}
@@ -518,21 +521,22 @@
 
 		private void checkOverdue() {
 			for (Change change : this.missing) {
-				if (lateMillis(change) > FreshnessModel.this.scenario.boundMillis()) {
-					FreshnessModel.this.result.held(lateMillis(change), describe(change) + ", not held at the end");
+				if (changeDelayMillis(change) > FreshnessModel.this.scenario.boundMillis()) {
+					FreshnessModel.this.result.recordDelay(changeDelayMillis(change),
+							describe(change) + ", missing at the end");
 				}
 			}
 		}
 
 		private String describe(Change change) {
-			return String.format("%s (life %d) at %d: change %d of %s, acknowledged at %d", this.gateway.address,
+			return String.format("%s (incarnation %d) at %d: change %d of %s, acknowledged at %d", this.gateway.address,
 					this.gateway.incarnation, now(), change.object.revision(), change.object.key(), change.ackedMillis);
 		}
 
 	}
 
 	/**
-	 * A gateway, with a clock whose origin is its own.
+	 * A gateway with its own clock, whose origin differs from that of the others.
 	 */
 	private final class Gateway implements AsyncObjectStore {
 
@@ -546,7 +550,7 @@
 
 		private final PeerTable peers;
 
-		private final CallRota rota;
+		private final CallRota callSchedule;
 
 		private final List<Copy> copies = new ArrayList<>();
 
@@ -560,21 +564,21 @@
 
 		private boolean stopped;
 
-		private boolean nonsense;
+		private boolean sendsInvalidClaims;
 
-		private boolean failsAtOnce;
+		private boolean failsImmediately;
 
-		private long cutUntilMillis;
+		private long storeCutUntilMillis;
 
 		private long frozenUntilMillis;
 
-		private long heldUntilMillis;
+		private long messagesDelayedUntilMillis;
 
 		private Gateway(String address, long incarnation) {
 			this.address = address;
 			this.incarnation = incarnation;
 			this.peers = new PeerTable(address);
-			this.rota = new CallRota(address);
+			this.callSchedule = new CallRota(address);
 			ConfirmationRank rank = new ConfirmationRank(address, this::live);
 			Map<String, Freshness> freshness = new HashMap<>();
 			for (String prefix : PREFIXES) {
@@ -593,12 +597,12 @@
 		}
 
 		private void start() {
-			FreshnessModel.this.addresses.forEach((each) -> this.peers.mayBeAt(each, this.clock.nowMillis()));
+			FreshnessModel.this.addresses.forEach((each) -> this.peers.addCandidate(each, this.clock.nowMillis()));
 			this.copies.forEach((copy) -> later(between(0, WATCH_TICK_MILLIS), copy::tick));
 			later(between(0, MESH_TICK_MILLIS), this::meshTick);
 		}
 
-		// A frozen process takes what has come when it thaws.
+		// A frozen process handles what has arrived when the freeze ends.
 		private void later(long delayMillis, Runnable action) {
 			after(delayMillis, () -> {
 				if (now() < this.frozenUntilMillis) {
@@ -633,19 +637,19 @@
 			return call.future.thenApply(WatchResult.class::cast);
 		}
 
-		// As PeerMesh.round does.
+		// Mirrors PeerMesh.runRound.
 		private void meshTick() {
 			this.live = Set.of();
 			long nowMillis = this.clock.nowMillis();
-			long periodMillis = Math.max(100, 10L * this.peers.known());
+			long periodMillis = Math.max(100, 10L * this.peers.knownCount());
 			if (nowMillis >= this.nextAgingMillis) {
 				this.nextAgingMillis = nowMillis + periodMillis;
-				this.peers.age(nowMillis, periodMillis);
+				this.peers.expireSilent(nowMillis, periodMillis);
 				this.claims.retain(Set.copyOf(this.peers.addresses()));
 			}
-			List<String> due = this.rota.due(this.peers.addresses(), nowMillis, periodMillis)
+			List<String> due = this.callSchedule.due(this.peers.addresses(), nowMillis, periodMillis)
 				.stream()
-				.filter((peer) -> this.peers.calls(peer, nowMillis, periodMillis))
+				.filter((peer) -> this.peers.shouldCall(peer, nowMillis, periodMillis))
 				.toList();
 			if (!due.isEmpty()) {
 				GatewayReport report = report();
@@ -658,13 +662,13 @@
 			GatewayReport report = new GatewayReport(this.address, this.incarnation, this.address, false, 0, 0,
 					Map.of(), List.of(), 0);
 			this.claims.write(report);
-			if (this.nonsense && now() < FreshnessModel.this.scenario.faultsEndMillis()) {
-				report.setClaims(PREFIXES.stream().map(this::nonsense).toList());
+			if (this.sendsInvalidClaims && now() < FreshnessModel.this.scenario.faultsEndMillis()) {
+				report.setClaims(PREFIXES.stream().map(this::invalidClaim).toList());
 			}
 			return report;
 		}
 
-		private CopyClaim nonsense(String prefix) {
+		private CopyClaim invalidClaim(String prefix) {
 			if (FreshnessModel.this.scenario.faults().contains(Fault.HUGE_AGE)) {
 				return new CopyClaim(prefix, 0, 1, Long.MAX_VALUE);
 			}
@@ -680,13 +684,13 @@
 			ExchangeStamp stamp = this.claims.stamp(peer, report);
 			long sentMillis = this.clock.nowMillis();
 			send(peer, (other) -> {
-				other.claims.called(report, stamp);
+				other.claims.acceptCall(report, stamp);
 				other.heard(report);
 				GatewayReport answer = other.report();
 				other.reply(this, () -> {
-					// A late answer is dropped, unless this process was frozen.
+					// A late answer is dropped unless this process was frozen.
 					if (this.clock.nowMillis() - sentMillis <= EXCHANGE_MILLIS || this.frozenUntilMillis > 0) {
-						this.claims.answered(peer, answer, sentMillis, this.clock.nowMillis());
+						this.claims.acceptAnswer(peer, answer, sentMillis, this.clock.nowMillis());
 						heard(answer);
 					}
 				});
@@ -709,22 +713,22 @@
 		}
 
 		private long delayTo(Gateway peer) {
-			return between(1, 10) + Math.max(heldMillis(), peer.heldMillis());
+			return between(1, 10) + Math.max(messageDelayMillis(), peer.messageDelayMillis());
 		}
 
-		private long heldMillis() {
-			return Math.max(0, this.heldUntilMillis - now());
+		private long messageDelayMillis() {
+			return Math.max(0, this.messagesDelayedUntilMillis - now());
 		}
 
 		private void heard(GatewayReport report) {
-			this.peers.heard(report, this.clock.nowMillis());
+			this.peers.acceptReport(report, this.clock.nowMillis());
 			this.copies.forEach(Copy::check);
 		}
 
 	}
 
 	/**
-	 * Delivers a message to whichever process has the address.
+	 * Delivers a message to the process that currently has the address.
 	 */
 	@FunctionalInterface
 	private interface Delivery {
--- a/gateway/src/test/java/org/snowwind/gateway/peer/FreshnessModelTests.java
+++ b/gateway/src/test/java/org/snowwind/gateway/peer/FreshnessModelTests.java
@@ -16,7 +16,8 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * No gateway claims to be fresher than it is, and each holds every change in time.
+ * Checks by simulation that no gateway considers a copy confirmed that lacks an
+ * acknowledged change, and that each change reaches all gateways within the bound.
  */
 class FreshnessModelTests {
 
@@ -28,7 +29,7 @@
 
 	private static final long[] BOUNDS_MILLIS = { 2000, 3000, 4000 };
 
-	/** Thousands of peers are found, each worth a line. */
+	/** The simulation discovers thousands of peers, each of which would be logged. */
 	private static final Logger LOGGER = Logger.getLogger("org.snowwind.model.event.EventLog");
 
 	@BeforeAll
@@ -41,7 +42,7 @@
 		LOGGER.setLevel(null);
 	}
 
-	private static void play(int gateways, Set<Fault> faults, int seeds, long faultsEndMillis, Property property) {
+	private static void simulate(int gateways, Set<Fault> faults, int seeds, long faultsEndMillis, Property property) {
 		for (int seed = 1; seed <= seeds; seed++) {
 			for (long boundMillis : BOUNDS_MILLIS) {
 				FreshnessModel.Result result = new FreshnessModel(
@@ -53,16 +54,17 @@
 		}
 	}
 
-	private static void isSound(FreshnessModel.Result result, long boundMillis, String run) {
-		assertThat(result.unsound()).as(run).isEmpty();
+	private static void hasNoFalseConfirmation(FreshnessModel.Result result, long boundMillis, String run) {
+		assertThat(result.falseConfirmations()).as(run).isEmpty();
 	}
 
-	private static void isSoundBeforeListing(FreshnessModel.Result result, long boundMillis, String run) {
-		assertThat(result.unsoundBeforeListing()).as(run).isEmpty();
+	private static void hasNoFalseConfirmationBeforeListing(FreshnessModel.Result result, long boundMillis,
+			String run) {
+		assertThat(result.falseConfirmationsBeforeListing()).as(run).isEmpty();
 	}
 
-	private static void isInTime(FreshnessModel.Result result, long boundMillis, String run) {
-		assertThat(result.latestMillis()).as(run + ": " + result.latest()).isLessThanOrEqualTo(boundMillis);
+	private static void changesArriveInTime(FreshnessModel.Result result, long boundMillis, String run) {
+		assertThat(result.maxDelayMillis()).as(run + ": " + result.slowestChange()).isLessThanOrEqualTo(boundMillis);
 	}
 
 	private static Set<Fault> without(Fault first, Fault... others) {
@@ -71,52 +73,54 @@
 
 	@ParameterizedTest
 	@EnumSource(Fault.class)
-	void noChangeIsDeniedUnderOneKindOfFault(Fault fault) {
-		play(7, EnumSet.of(fault), 7, FAULTS_END_MILLIS, FreshnessModelTests::isSound);
+	void noCopyIsFalselyConfirmedUnderOneKindOfFault(Fault fault) {
+		simulate(7, EnumSet.of(fault), 7, FAULTS_END_MILLIS, FreshnessModelTests::hasNoFalseConfirmation);
 	}
 
 	@ParameterizedTest
 	@EnumSource(Fault.class)
-	void changesAreHeldInTimeAfterOneKindOfFault(Fault fault) {
-		play(7, EnumSet.of(fault), 4, FAULTS_END_MILLIS, FreshnessModelTests::isInTime);
+	void changesArriveInTimeAfterOneKindOfFault(Fault fault) {
+		simulate(7, EnumSet.of(fault), 4, FAULTS_END_MILLIS, FreshnessModelTests::changesArriveInTime);
 	}
 
 	@ParameterizedTest
 	@CsvSource({ "7, 20", "32, 2", "49, 1" })
-	void noChangeIsDeniedUnderFaultsOfSeveralKinds(int gateways, int seeds) {
-		play(gateways, without(Fault.RESTARTS, Fault.HUGE_AGE), seeds, FAULTS_END_MILLIS, FreshnessModelTests::isSound);
+	void noCopyIsFalselyConfirmedUnderSeveralKindsOfFaults(int gateways, int seeds) {
+		simulate(gateways, without(Fault.RESTARTS, Fault.HUGE_AGE), seeds, FAULTS_END_MILLIS,
+				FreshnessModelTests::hasNoFalseConfirmation);
 	}
 
 	@ParameterizedTest
 	@CsvSource({ "32, 3", "49, 4" })
-	void changesAreHeldInTimeByManyGateways(int gateways, int seeds) {
-		play(gateways, without(Fault.RESTARTS, Fault.HUGE_AGE), seeds, FAULTS_END_MILLIS,
-				FreshnessModelTests::isInTime);
+	void changesArriveInTimeAtManyGateways(int gateways, int seeds) {
+		simulate(gateways, without(Fault.RESTARTS, Fault.HUGE_AGE), seeds, FAULTS_END_MILLIS,
+				FreshnessModelTests::changesArriveInTime);
 	}
 
 	@Test
-	void hundredsOfGatewaysHoldChangesInTimeAndDenyNone() {
+	void changesArriveInTimeWithoutFalseConfirmationAtHundredsOfGateways() {
 		long boundMillis = 2000;
 		FreshnessModel.Result result = new FreshnessModel(FreshnessModel.Scenario.disrupted(370, boundMillis,
 				without(Fault.RESTARTS, Fault.HUGE_AGE), SHORT_FAULTS_END_MILLIS), 1)
 			.run();
-		isSound(result, boundMillis, "370 gateways");
-		isInTime(result, boundMillis, "370 gateways");
+		hasNoFalseConfirmation(result, boundMillis, "370 gateways");
+		changesArriveInTime(result, boundMillis, "370 gateways");
 	}
 
 	@Test
-	void noChangeIsDeniedAfterRestartsAmidFaults() {
-		play(7, without(Fault.HUGE_AGE), 10, FAULTS_END_MILLIS, FreshnessModelTests::isSound);
+	void noCopyIsFalselyConfirmedAfterRestartsDuringFaults() {
+		simulate(7, without(Fault.HUGE_AGE), 10, FAULTS_END_MILLIS, FreshnessModelTests::hasNoFalseConfirmation);
 	}
 
 	@Test
-	void changesAreHeldInTimeAfterFaultsOfSeveralKinds() {
-		play(7, without(Fault.HUGE_AGE), 20, FAULTS_END_MILLIS, FreshnessModelTests::isInTime);
+	void changesArriveInTimeAfterSeveralKindsOfFaults() {
+		simulate(7, without(Fault.HUGE_AGE), 20, FAULTS_END_MILLIS, FreshnessModelTests::changesArriveInTime);
 	}
 
 	@Test
-	void gatewayWithoutListingClaimsNoFreshness() {
-		play(7, EnumSet.of(Fault.RESTARTS), 3, FAULTS_END_MILLIS, FreshnessModelTests::isSoundBeforeListing);
+	void noCopyIsFalselyConfirmedBeforeItsListing() {
+		simulate(7, EnumSet.of(Fault.RESTARTS), 3, FAULTS_END_MILLIS,
+				FreshnessModelTests::hasNoFalseConfirmationBeforeListing);
 	}
 
 	@ParameterizedTest
@@ -125,7 +129,7 @@
 		FreshnessModel.Result result = new FreshnessModel(
 				FreshnessModel.Scenario.quiet(gateways, boundMillis, startWithinMillis, 0, 60_000), 1)
 			.run();
-		assertThat(result.mostCalls()).isLessThanOrEqualTo(CALLS_PER_MINUTE * gateways);
+		assertThat(result.maxCalls()).isLessThanOrEqualTo(CALLS_PER_MINUTE * gateways);
 	}
 
 	@ParameterizedTest
@@ -136,11 +140,11 @@
 				FreshnessModel.Scenario.quiet(gateways, boundMillis, startWithinMillis, 5000, endMillis), 1)
 			.run();
 		int allowed = CALLS_PER_MINUTE * gateways * (endMillis - 5000) / 60_000;
-		assertThat(result.mostCalls()).isLessThanOrEqualTo(allowed);
+		assertThat(result.maxCalls()).isLessThanOrEqualTo(allowed);
 	}
 
 	/**
-	 * Checks what came of a play.
+	 * Checks the result of a simulation.
 	 */
 	@FunctionalInterface
 	private interface Property {
--- a/gateway/src/test/java/org/snowwind/gateway/peer/GatewayDirectoryTests.java
+++ b/gateway/src/test/java/org/snowwind/gateway/peer/GatewayDirectoryTests.java
@@ -34,59 +34,59 @@
 		this.found.addAll(addresses);
 	}, () -> this.alive);
 
-	private void rounds(int count) {
+	private void runRounds(int count) {
 		for (int i = 0; i < count; i++) {
 			this.directory.round();
 		}
 	}
 
-	private static JsonNode at(String address) {
+	private static JsonNode addressEntry(String address) {
 		return Json.MAPPER.createObjectNode().put("address", address);
 	}
 
 	@Test
-	void aGatewayRegistersOnceAndFindsTheOthers() {
-		this.store.put("gateways/other", 0, at("10.0.0.2:1"));
-		rounds(3);
+	void gatewayRegistersOnceAndDiscoversOthers() {
+		this.store.put("gateways/other", 0, addressEntry("10.0.0.2:1"));
+		runRounds(3);
 		assertThat(this.found).containsExactly("10.0.0.2:1");
-		assertThat(this.store.objects.get("gateways/me").value()).isEqualTo(at("10.0.0.1:1"));
+		assertThat(this.store.objects.get("gateways/me").value()).isEqualTo(addressEntry("10.0.0.1:1"));
 		assertThat(this.store.writes).isEqualTo(2);
 	}
 
 	@Test
-	void anEntryOfAnEarlierAddressIsReplaced() {
-		this.store.put("gateways/me", 0, at("10.0.0.7:1"));
-		rounds(1);
-		assertThat(this.store.objects.get("gateways/me").value()).isEqualTo(at("10.0.0.1:1"));
+	void entryWithOutdatedAddressIsReplaced() {
+		this.store.put("gateways/me", 0, addressEntry("10.0.0.7:1"));
+		runRounds(1);
+		assertThat(this.store.objects.get("gateways/me").value()).isEqualTo(addressEntry("10.0.0.1:1"));
 	}
 
 	@Test
-	void anEntryThatWasDeletedIsWrittenAgain() {
-		rounds(1);
+	void deletedEntryIsWrittenAgain() {
+		runRounds(1);
 		this.store.objects.remove("gateways/me");
-		rounds(1);
+		runRounds(1);
 		assertThat(this.store.objects).containsKey("gateways/me");
 	}
 
 	@Test
-	void aGatewayThatIsGoneIsForgottenAndALiveOneIsNot() {
-		this.store.put("gateways/gone", 0, at("10.0.0.2:1"));
-		this.store.put("gateways/live", 0, at("10.0.0.3:1"));
+	void entryOfDeadGatewayIsDeletedAndThatOfLiveOneKept() {
+		this.store.put("gateways/gone", 0, addressEntry("10.0.0.2:1"));
+		this.store.put("gateways/live", 0, addressEntry("10.0.0.3:1"));
 		this.alive = Set.of("10.0.0.3:1");
-		rounds(20);
+		runRounds(20);
 		assertThat(this.store.objects).doesNotContainKey("gateways/gone").containsKey("gateways/live");
 	}
 
 	@Test
-	void whileThePlatformIsAwayNothingIsForgotten() {
-		this.store.put("gateways/gone", 0, at("10.0.0.2:1"));
-		this.store.away = true;
-		rounds(20);
+	void noEntryIsDeletedWhilePlatformIsUnavailable() {
+		this.store.put("gateways/gone", 0, addressEntry("10.0.0.2:1"));
+		this.store.unavailable = true;
+		runRounds(20);
 		assertThat(this.store.objects).containsKey("gateways/gone");
 	}
 
 	/**
-	 * A store in memory.
+	 * A store in memory that can be made unavailable.
 	 */
 	private static final class MapStore implements ObjectStore {
 
@@ -96,11 +96,11 @@
 
 		private int writes;
 
-		private boolean away;
+		private boolean unavailable;
 
 		@Override
 		public ListResult list(String prefix) {
-			return this.away ? new ListResult.Away("away")
+			return this.unavailable ? new ListResult.Away("away")
 					: new ListResult.Listed(this.revision, List.copyOf(this.objects.values()));
 		}
 
@@ -119,12 +119,12 @@
 
 		@Override
 		public GetResult get(String key) {
-			throw new UnsupportedOperationException("the directory reads no single object");
+			throw new UnsupportedOperationException("the directory does not read single objects");
 		}
 
 		@Override
 		public WatchResult watch(String prefix, long afterRevision, long waitMillis) {
-			throw new UnsupportedOperationException("the directory watches nothing");
+			throw new UnsupportedOperationException("the directory does not watch objects");
 		}
 
 	}
--- a/gateway/src/test/java/org/snowwind/gateway/peer/PeerTableTests.java
+++ b/gateway/src/test/java/org/snowwind/gateway/peer/PeerTableTests.java
@@ -15,130 +15,131 @@
 
 	private final PeerTable peers = new PeerTable("10.0.0.1:1");
 
-	private long agedMillis;
+	private long lastCheckMillis;
 
 	private static GatewayReport report(String name, String address, Map<String, Integer> inFlight, long fence) {
 		return new GatewayReport(name, 1, address, false, 5, 7, inFlight, List.of("10.0.0.9:1"), fence);
 	}
 
-	// As a running process does it, once a period.
-	private void ageUntil(long nowMillis, long periodMillis) {
-		while (this.agedMillis < nowMillis) {
-			this.agedMillis = Math.min(nowMillis, this.agedMillis + periodMillis);
-			this.peers.age(this.agedMillis, periodMillis);
+	// Expires silent peers once per period, as a running process does.
+	private void expireUntil(long nowMillis, long periodMillis) {
+		while (this.lastCheckMillis < nowMillis) {
+			this.lastCheckMillis = Math.min(nowMillis, this.lastCheckMillis + periodMillis);
+			this.peers.expireSilent(this.lastCheckMillis, periodMillis);
 		}
 	}
 
 	@Test
-	void peersTellOfPeers() {
-		this.peers.heard(report("b", "10.0.0.2:1", Map.of(), 0), 0);
+	void reportsAddPeersThatTheyList() {
+		this.peers.acceptReport(report("b", "10.0.0.2:1", Map.of(), 0), 0);
 		assertThat(this.peers.addresses()).containsExactlyInAnyOrder("10.0.0.2:1", "10.0.0.9:1");
 		assertThat(this.peers.liveNames()).containsExactly("b");
 	}
 
 	@Test
-	void theOwnAddressIsNoPeer() {
-		this.peers.mayBeAt("10.0.0.1:1", 0);
+	void ownAddressIsNotAddedAsPeer() {
+		this.peers.addCandidate("10.0.0.1:1", 0);
 		assertThat(this.peers.addresses()).isEmpty();
 	}
 
 	@Test
-	void requestsOfAllPeersAreAddedUpWhileTheyAreFresh() {
-		this.peers.heard(report("b", "10.0.0.2:1", Map.of("i-1", 2, "i-2", 1), 0), 0);
-		this.peers.heard(report("c", "10.0.0.3:1", Map.of("i-1", 3), 0), 1500);
+	void inFlightRequestsOfRecentReportsAreSummed() {
+		this.peers.acceptReport(report("b", "10.0.0.2:1", Map.of("i-1", 2, "i-2", 1), 0), 0);
+		this.peers.acceptReport(report("c", "10.0.0.3:1", Map.of("i-1", 3), 0), 1500);
 		assertThat(this.peers.inFlight(1600)).containsEntry("i-1", 5).containsEntry("i-2", 1);
 		assertThat(this.peers.inFlight(2600)).containsEntry("i-1", 3).doesNotContainKey("i-2");
 	}
 
 	@Test
-	void aSilentPeerIsSuspectedButStillCountsForABudget() {
-		this.peers.heard(report("b", "10.0.0.2:1", Map.of(), 9), 0);
+	void silentPeerIsSuspectedButStaysKnownUntilRemoved() {
+		this.peers.acceptReport(report("b", "10.0.0.2:1", Map.of(), 9), 0);
 		assertThat(this.peers.plannerFence(100)).isEqualTo(9);
-		ageUntil(2000, 100);
+		expireUntil(2000, 100);
 		assertThat(this.peers.liveNames()).isEmpty();
 		assertThat(this.peers.plannerFence(2000)).isZero();
-		assertThat(this.peers.known()).isEqualTo(2);
-		ageUntil(40_000, 100);
-		assertThat(this.peers.known()).isZero();
+		assertThat(this.peers.knownCount()).isEqualTo(2);
+		expireUntil(40_000, 100);
+		assertThat(this.peers.knownCount()).isZero();
 	}
 
 	@Test
-	void aPeerThatAnswersAgainIsTrusted() {
-		this.peers.heard(report("b", "10.0.0.2:1", Map.of(), 0), 0);
-		this.peers.age(2000, 100);
-		this.peers.heard(report("b", "10.0.0.2:1", Map.of(), 0), 2100);
+	void suspectedPeerThatReportsAgainIsLive() {
+		this.peers.acceptReport(report("b", "10.0.0.2:1", Map.of(), 0), 0);
+		this.peers.expireSilent(2000, 100);
+		this.peers.acceptReport(report("b", "10.0.0.2:1", Map.of(), 0), 2100);
 		assertThat(this.peers.liveAddresses()).containsExactly("10.0.0.2:1");
 	}
 
 	@Test
-	void peersThatReportSeldomAreNotSuspectedForIt() {
-		this.peers.heard(report("b", "10.0.0.2:1", Map.of("i-1", 2), 0), 0);
-		ageUntil(4500, 3000);
+	void peersWithLongReportingPeriodAreNotSuspected() {
+		this.peers.acceptReport(report("b", "10.0.0.2:1", Map.of("i-1", 2), 0), 0);
+		expireUntil(4500, 3000);
 		assertThat(this.peers.liveNames()).containsExactly("b");
 		assertThat(this.peers.inFlight(4500)).containsEntry("i-1", 2);
-		ageUntil(9100, 3000);
+		expireUntil(9100, 3000);
 		assertThat(this.peers.liveNames()).isEmpty();
 	}
 
 	@Test
-	void aPlannerIsMissedSoonerThanItIsTakenForDead() {
-		this.peers.heard(report("a", "10.0.0.2:1", Map.of(), 9), 0);
-		this.peers.heard(report("b", "10.0.0.3:1", Map.of(), 0), 900);
-		this.peers.age(1000, 100);
+	void plannerTimesOutBeforePeerIsSuspected() {
+		this.peers.acceptReport(report("a", "10.0.0.2:1", Map.of(), 9), 0);
+		this.peers.acceptReport(report("b", "10.0.0.3:1", Map.of(), 0), 900);
+		this.peers.expireSilent(1000, 100);
 		assertThat(this.peers.liveNames()).containsExactly("a", "b");
 		assertThat(this.peers.plannerFence(1000)).isZero();
-		assertThat(this.peers.promptNames(1000)).containsExactly("b");
+		assertThat(this.peers.recentNames(1000)).containsExactly("b");
 	}
 
 	@Test
-	void peersThatWereJustHeardOfMayHaveAsMuchAsTheOthers() {
-		this.peers.mayBeAt("10.0.0.2:1", 0);
-		this.peers.mayBeAt("10.0.0.3:1", 0);
-		assertThat(this.peers.unheardFactor(100)).isEqualTo(3);
-		this.peers.heard(report("b", "10.0.0.2:1", Map.of(), 0), 200);
-		assertThat(this.peers.unheardFactor(200)).as("b, itself and two that b and others named").isEqualTo(2);
-		assertThat(this.peers.unheardFactor(5000)).as("who never reports is dead").isEqualTo(1);
+	void peersThatHaveNotReportedIncreaseFactor() {
+		this.peers.addCandidate("10.0.0.2:1", 0);
+		this.peers.addCandidate("10.0.0.3:1", 0);
+		assertThat(this.peers.unreportedFactor(100)).isEqualTo(3);
+		this.peers.acceptReport(report("b", "10.0.0.2:1", Map.of(), 0), 200);
+		assertThat(this.peers.unreportedFactor(200)).as("this gateway and b, and two that have not reported")
+			.isEqualTo(2);
+		assertThat(this.peers.unreportedFactor(5000)).as("a peer that never reports is dead").isEqualTo(1);
 	}
 
 	@Test
-	void whoStoodStillItselfListensBeforeItMissesThePlanner() {
-		this.peers.heard(report("b", "10.0.0.2:1", Map.of(), 9), 0);
-		this.peers.age(100, 100);
-		this.peers.age(3900, 100);
-		assertThat(this.peers.plannerFence(3900)).as("nobody could be heard meanwhile").isEqualTo(9);
+	void stalledProcessDoesNotTimeOutPlannerBeforeListening() {
+		this.peers.acceptReport(report("b", "10.0.0.2:1", Map.of(), 9), 0);
+		this.peers.expireSilent(100, 100);
+		this.peers.expireSilent(3900, 100);
+		assertThat(this.peers.plannerFence(3900)).as("no report could be received during the stall").isEqualTo(9);
 		assertThat(this.peers.liveNames()).containsExactly("b");
 		for (long nowMillis = 4000; nowMillis <= 6000; nowMillis += 100) {
-			this.peers.age(nowMillis, 100);
+			this.peers.expireSilent(nowMillis, 100);
 		}
-		assertThat(this.peers.plannerFence(6000)).as("it is silent indeed").isZero();
+		assertThat(this.peers.plannerFence(6000)).as("the planner has been silent since the stall").isZero();
 		assertThat(this.peers.liveNames()).isEmpty();
 	}
 
 	@Test
-	void theNewestOfSeveralPlannersCounts() {
-		this.peers.heard(report("b", "10.0.0.2:1", Map.of(), 9), 0);
-		this.peers.heard(report("c", "10.0.0.3:1", Map.of(), 12), 0);
+	void highestFenceOfSeveralPlannersIsReturned() {
+		this.peers.acceptReport(report("b", "10.0.0.2:1", Map.of(), 9), 0);
+		this.peers.acceptReport(report("c", "10.0.0.3:1", Map.of(), 12), 0);
 		assertThat(this.peers.plannerFence(100)).isEqualTo(12);
 	}
 
 	@Test
-	void ofTwoThatHearEachOtherOneCalls() {
+	void onlyOneOfTwoConnectedGatewaysCalls() {
 		PeerTable first = new PeerTable("10.0.0.1:1");
 		PeerTable second = new PeerTable("10.0.0.2:1");
-		first.heard(report("b", "10.0.0.2:1", Map.of(), 0), 0);
-		second.heard(report("a", "10.0.0.1:1", Map.of(), 0), 0);
-		assertThat(first.calls("10.0.0.2:1", 100, 100)).isTrue();
-		assertThat(second.calls("10.0.0.1:1", 100, 100)).isFalse();
+		first.acceptReport(report("b", "10.0.0.2:1", Map.of(), 0), 0);
+		second.acceptReport(report("a", "10.0.0.1:1", Map.of(), 0), 0);
+		assertThat(first.shouldCall("10.0.0.2:1", 100, 100)).isTrue();
+		assertThat(second.shouldCall("10.0.0.1:1", 100, 100)).isFalse();
 	}
 
 	@Test
-	void aPeerThatShouldCallAndDoesNotIsCalled() {
+	void peerThatFailsToCallIsCalled() {
 		PeerTable second = new PeerTable("10.0.0.2:1");
-		second.mayBeAt("10.0.0.1:1", 0);
-		assertThat(second.calls("10.0.0.1:1", 50, 100)).as("it may not know of us").isTrue();
-		second.heard(report("a", "10.0.0.1:1", Map.of(), 0), 100);
-		assertThat(second.calls("10.0.0.1:1", 200, 100)).isFalse();
-		assertThat(second.calls("10.0.0.1:1", 300, 100)).as("its call was lost").isTrue();
+		second.addCandidate("10.0.0.1:1", 0);
+		assertThat(second.shouldCall("10.0.0.1:1", 50, 100)).as("the peer may not know this gateway").isTrue();
+		second.acceptReport(report("a", "10.0.0.1:1", Map.of(), 0), 100);
+		assertThat(second.shouldCall("10.0.0.1:1", 200, 100)).isFalse();
+		assertThat(second.shouldCall("10.0.0.1:1", 300, 100)).as("the peer's call was lost").isTrue();
 	}
 
 }
--- a/gateway/src/test/java/org/snowwind/gateway/peer/StoreClaimsTests.java
+++ b/gateway/src/test/java/org/snowwind/gateway/peer/StoreClaimsTests.java
@@ -26,7 +26,7 @@
 	private final Gateway other = new Gateway("other:1", 22, 500_000);
 
 	@BeforeEach
-	void bothHoldTheFirstChange() {
+	void confirmBothByStore() {
 		this.one.answeredByStore();
 		this.other.answeredByStore();
 	}
@@ -37,94 +37,94 @@
 	}
 
 	@Test
-	void anAnswerConfirmsAsOfTheCall() {
+	void answerConfirmsAsOfTimeOfCall() {
 		pass(2000);
 		this.one.answeredByStore();
 		long sentMillis = this.other.clock.nowMillis();
 		pass(700);
 		GatewayReport answer = this.one.report();
 		pass(40);
-		this.other.claims.answered("one:1", answer, sentMillis, this.other.clock.nowMillis());
+		this.other.claims.acceptAnswer("one:1", answer, sentMillis, this.other.clock.nowMillis());
 		assertThat(this.other.freshness.unconfirmedMillis()).as("the claim was 700 ms old").isEqualTo(1440);
 	}
 
 	@Test
-	void aCallConfirmsOnceTheCalledGatewayCanTellWhenItWasComposed() {
+	void callConfirmsIfStampShowsWhenItWasComposed() {
 		GatewayReport answer = this.other.report();
-		this.one.claims.answered("other:1", answer, this.one.clock.nowMillis(), this.one.clock.nowMillis());
+		this.one.claims.acceptAnswer("other:1", answer, this.one.clock.nowMillis(), this.one.clock.nowMillis());
 		pass(5000);
 		this.one.answeredByStore();
 		GatewayReport report = this.one.report();
 		ExchangeStamp stamp = this.one.claims.stamp("other:1", report);
 		pass(30);
-		this.other.claims.called(report, stamp);
+		this.other.claims.acceptCall(report, stamp);
 		assertThat(this.other.freshness.unconfirmedMillis()).isEqualTo(30);
 	}
 
 	@Test
-	void aCallThatWasHeldUpConfirmsNoLaterThanItWasComposed() {
-		this.one.claims.answered("other:1", this.other.report(), 0, this.one.clock.nowMillis());
+	void delayedCallConfirmsAsOfItsComposition() {
+		this.one.claims.acceptAnswer("other:1", this.other.report(), 0, this.one.clock.nowMillis());
 		this.one.answeredByStore();
 		GatewayReport report = this.one.report();
 		ExchangeStamp stamp = this.one.claims.stamp("other:1", report);
 		pass(6000);
-		this.other.claims.called(report, stamp);
+		this.other.claims.acceptCall(report, stamp);
 		assertThat(this.other.freshness.unconfirmedMillis()).isEqualTo(6000);
 	}
 
 	@Test
-	void aCallFromAGatewayThatHeardAnEarlierLifeConfirmsNothing() {
+	void callWithStampOfEarlierIncarnationDoesNotConfirm() {
 		GatewayReport earlier = this.other.report().setIncarnation(21);
-		this.one.claims.answered("other:1", earlier, 0, this.one.clock.nowMillis());
+		this.one.claims.acceptAnswer("other:1", earlier, 0, this.one.clock.nowMillis());
 		pass(100);
 		this.one.answeredByStore();
 		GatewayReport report = this.one.report();
-		this.other.claims.called(report, this.one.claims.stamp("other:1", report));
+		this.other.claims.acceptCall(report, this.one.claims.stamp("other:1", report));
 		assertThat(this.other.freshness.unconfirmedMillis()).isEqualTo(100);
 	}
 
 	@Test
-	void aFirstCallTellsOfChangesAndConfirmsNothing() {
+	void firstCallReportsChangesButDoesNotConfirm() {
 		pass(100);
 		this.one.answeredByStore();
 		GatewayReport report = this.one.report();
 		report.setClaims(List.of(new CopyClaim(PREFIX, 9, 9, 0)));
-		this.other.claims.called(report, this.one.claims.stamp("other:1", report));
+		this.other.claims.acceptCall(report, this.one.claims.stamp("other:1", report));
 		assertThat(this.other.freshness.isBehind()).isTrue();
 		assertThat(this.other.freshness.unconfirmedMillis()).isEqualTo(100);
 	}
 
 	@Test
-	void aReportWithoutClaimsAndOneOfAnUnknownKindSayNothing() {
+	void missingClaimsAndClaimsOfUnknownPrefixAreIgnored() {
 		pass(100);
 		GatewayReport report = this.one.report();
 		report.setClaims(List.of(new CopyClaim("other/", 9, 9, 0)));
-		this.other.claims.called(report, null);
+		this.other.claims.acceptCall(report, null);
 		report.unsetClaims();
-		this.other.claims.answered("one:1", report, this.other.clock.nowMillis(), this.other.clock.nowMillis());
+		this.other.claims.acceptAnswer("one:1", report, this.other.clock.nowMillis(), this.other.clock.nowMillis());
 		assertThat(this.other.freshness.unconfirmedMillis()).isEqualTo(100);
 		assertThat(this.other.freshness.isBehind()).isFalse();
 	}
 
 	@Test
-	void aGatewayThatHasJustStartedConfirmsNobody() {
+	void gatewayWithoutStoreAnswerDoesNotConfirm() {
 		pass(5000);
 		Gateway started = new Gateway("started:1", 33, 0);
 		pass(100);
-		this.other.claims.answered("started:1", started.report(), this.other.clock.nowMillis(),
+		this.other.claims.acceptAnswer("started:1", started.report(), this.other.clock.nowMillis(),
 				this.other.clock.nowMillis());
 		assertThat(this.other.freshness.unconfirmedMillis()).isEqualTo(5100);
 	}
 
 	@Test
-	void peersThatAreGoneAreForgotten() {
-		this.one.claims.answered("other:1", this.other.report(), 0, this.one.clock.nowMillis());
+	void removedPeersAreForgotten() {
+		this.one.claims.acceptAnswer("other:1", this.other.report(), 0, this.one.clock.nowMillis());
 		this.one.claims.retain(Set.of());
 		assertThat(this.one.claims.stamp("other:1", this.one.report())).isEqualTo(new ExchangeStamp(0, 0, 0));
 	}
 
 	/**
-	 * One gateway with a clock of its own.
+	 * A gateway with its own clock.
 	 */
 	private static final class Gateway {
 
--- a/gateway/src/test/java/org/snowwind/gateway/registry/RegistryViewTests.java
+++ b/gateway/src/test/java/org/snowwind/gateway/registry/RegistryViewTests.java
@@ -23,59 +23,59 @@
 		return server(id, false);
 	}
 
-	private boolean knows(String id, long nowMillis) {
+	private boolean contains(String id, long nowMillis) {
 		return this.view.registry(nowMillis).servers().containsKey(id);
 	}
 
 	@Test
-	void aRemovedServerIsGoneAtOnce() {
-		this.view.listed(1, List.of(server("a"), server("b")), 0);
-		this.view.removed("a", 10);
-		assertThat(knows("a", 10)).isFalse();
-		assertThat(knows("b", 10)).isTrue();
+	void removedServerIsDroppedImmediately() {
+		this.view.replaceAll(1, List.of(server("a"), server("b")), 0);
+		this.view.remove("a", 10);
+		assertThat(contains("a", 10)).isFalse();
+		assertThat(contains("b", 10)).isTrue();
 	}
 
 	@Test
-	void aServerThatLapsedWhileThePlatformWasAwayIsKeptForAMoment() {
-		this.view.listed(1, List.of(server("a"), server("b")), 0);
-		this.view.platformReturned(5000);
-		this.view.listed(2, List.of(server("b")), 5001);
-		assertThat(knows("a", 5001)).isTrue();
-		assertThat(this.view.keepsLapsed()).isTrue();
-		assertThat(knows("a", 5000 + GRACE_MILLIS)).isFalse();
-		assertThat(this.view.keepsLapsed()).isFalse();
+	void serverThatLapsedDuringOutageIsKeptForGracePeriod() {
+		this.view.replaceAll(1, List.of(server("a"), server("b")), 0);
+		this.view.platformRecovered(5000);
+		this.view.replaceAll(2, List.of(server("b")), 5001);
+		assertThat(contains("a", 5001)).isTrue();
+		assertThat(this.view.hasLapsedServers()).isTrue();
+		assertThat(contains("a", 5000 + GRACE_MILLIS)).isFalse();
+		assertThat(this.view.hasLapsedServers()).isFalse();
 	}
 
 	@Test
-	void aLapsedServerThatRegistersAgainStays() {
-		this.view.listed(1, List.of(server("a")), 0);
-		this.view.platformReturned(5000);
-		this.view.listed(2, List.of(), 5001);
-		this.view.changed(server("a"));
-		assertThat(knows("a", 9000)).isTrue();
+	void lapsedServerThatRegistersAgainOutlivesGracePeriod() {
+		this.view.replaceAll(1, List.of(server("a")), 0);
+		this.view.platformRecovered(5000);
+		this.view.replaceAll(2, List.of(), 5001);
+		this.view.put(server("a"));
+		assertThat(contains("a", 9000)).isTrue();
 	}
 
 	@Test
-	void aServerThatWasLeavingIsNotKept() {
-		this.view.listed(1, List.of(server("a", true)), 0);
-		this.view.platformReturned(5000);
-		this.view.listed(2, List.of(), 5001);
-		assertThat(knows("a", 5001)).isFalse();
+	void drainingServerIsNotKeptAfterOutage() {
+		this.view.replaceAll(1, List.of(server("a", true)), 0);
+		this.view.platformRecovered(5000);
+		this.view.replaceAll(2, List.of(), 5001);
+		assertThat(contains("a", 5001)).isFalse();
 	}
 
 	@Test
-	void theRevisionNeverFalls() {
-		this.view.listed(7, List.of(), 0);
-		this.view.knownUpTo(5);
+	void revisionNeverDecreases() {
+		this.view.replaceAll(7, List.of(), 0);
+		this.view.advanceRevision(5);
 		assertThat(this.view.registry(0).revision()).isEqualTo(7);
-		this.view.knownUpTo(9);
+		this.view.advanceRevision(9);
 		assertThat(this.view.registry(0).revision()).isEqualTo(9);
 	}
 
 	@Test
-	void theHolderTakesOnlyNewerRegistries() {
+	void holderRejectsOlderRegistry() {
 		RegistryHolder holder = new RegistryHolder();
-		this.view.listed(7, List.of(server("a")), 0);
+		this.view.replaceAll(7, List.of(server("a")), 0);
 		assertThat(holder.offer(this.view.registry(0))).isTrue();
 		assertThat(holder.offer(Registry.NONE)).isFalse();
 		assertThat(holder.current().servers()).containsKey("a");
--- a/gateway/src/test/java/org/snowwind/gateway/registry/RegistryWatcherTests.java
+++ b/gateway/src/test/java/org/snowwind/gateway/registry/RegistryWatcherTests.java
@@ -14,7 +14,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Tests for {@link RegistryWatcher} with entries of other writers.
+ * Tests for {@link RegistryWatcher} with entries that cannot be decoded.
  */
 class RegistryWatcherTests {
 
@@ -39,14 +39,14 @@
 	}
 
 	@Test
-	void oddEntriesOfAListingNameNoServerAndTheOthersHold() {
+	void unreadableEntryInListingDoesNotAffectOtherServers() {
 		this.watcher.listed(new ListResult.Listed(5, List.of(entry("a", "1"), entry("odd", "[]"), entry("b", "2"))));
 		assertThat(servers()).containsExactlyInAnyOrder("a", "b");
 		assertThat(this.watcher.unreadable()).isEqualTo(1);
 	}
 
 	@Test
-	void anEntryThatBecomesOddNamesNoServerAndTheOthersOfTheSameAnswerHold() {
+	void entryThatBecomesUnreadableRemovesOnlyItsServer() {
 		this.watcher.listed(new ListResult.Listed(5, List.of(entry("a", "1"))));
 		this.watcher.changed(new WatchResult.Changes(List.of(entry("a", "null"), entry("b", "2")), 7));
 		assertThat(servers()).containsExactly("b");
@@ -56,7 +56,7 @@
 	}
 
 	/**
-	 * Every number is a server.
+	 * Decodes every number as a server and rejects everything else.
 	 */
 	private static final class NumberDecoder implements RegistryDecoder {
 
@@ -68,7 +68,7 @@
 		@Override
 		public BackendEntry decode(String id, JsonNode document) throws DocumentException {
 			if (document == null || !document.isNumber()) {
-				throw new DocumentException("no number");
+				throw new DocumentException("not a number");
 			}
 			return new BackendEntry(id, BackendRun.UNKNOWN, "s", "10.0.0.1", 80, "dc", 1, false);
 		}
--- a/gateway/src/test/java/org/snowwind/gateway/registry/UnreadableEntriesTests.java
+++ b/gateway/src/test/java/org/snowwind/gateway/registry/UnreadableEntriesTests.java
@@ -7,36 +7,36 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Tests for {@link UnreadableEntries} and of how {@link RegistryWatcher} uses it.
+ * Tests for {@link UnreadableEntries}.
  */
 class UnreadableEntriesTests {
 
 	private final UnreadableEntries entries = new UnreadableEntries();
 
 	@Test
-	void anEntryCountsUntilItCanBeRead() {
-		this.entries.unreadable("a", "odd");
-		this.entries.unreadable("a", "odd");
-		this.entries.unreadable("b", "odd");
+	void entryIsCountedUntilItCanBeRead() {
+		this.entries.recordUnreadable("a", "odd");
+		this.entries.recordUnreadable("a", "odd");
+		this.entries.recordUnreadable("b", "odd");
 		assertThat(this.entries.count()).isEqualTo(2);
-		this.entries.readable("a");
+		this.entries.clear("a");
 		assertThat(this.entries.count()).isEqualTo(1);
 	}
 
 	@Test
-	void aFloodOfNamesIsBounded() {
+	void numberOfRememberedEntriesIsBounded() {
 		for (int i = 0; i < 10_000; i++) {
-			this.entries.unreadable("x".repeat(500) + i, "odd".repeat(500));
-			this.entries.unreadable("y" + i, "odd");
+			this.entries.recordUnreadable("x".repeat(500) + i, "odd".repeat(500));
+			this.entries.recordUnreadable("y" + i, "odd");
 		}
-		assertThat(this.entries.count()).isEqualTo(UnreadableEntries.MOST);
+		assertThat(this.entries.count()).isEqualTo(UnreadableEntries.MAX_ENTRIES);
 	}
 
 	@Test
-	void whatIsNoLongerListedIsForgotten() {
-		this.entries.unreadable("a", "odd");
-		this.entries.unreadable("b", "odd");
-		this.entries.retain(List.of("b"));
+	void entriesThatAreNoLongerListedAreForgotten() {
+		this.entries.recordUnreadable("a", "odd");
+		this.entries.recordUnreadable("b", "odd");
+		this.entries.retainOnly(List.of("b"));
 		assertThat(this.entries.count()).isEqualTo(1);
 	}
 
--- a/gateway/src/test/java/org/snowwind/gateway/table/RouteTableTests.java
+++ b/gateway/src/test/java/org/snowwind/gateway/table/RouteTableTests.java
@@ -21,29 +21,29 @@
 		return new RouteTable(version, List.of(routes), Map.of(), keys, new RequestLimits(1, 1), new byte[0]);
 	}
 
-	private static String find(RouteTable table, String host, String path) {
+	private static String routeName(RouteTable table, String host, String path) {
 		return table.route(host, path).map(Route::name).orElse("none");
 	}
 
 	@Test
-	void theLongestPrefixOfTheHostWins() {
+	void longestPrefixOfHostIsChosen() {
 		RouteTable table = table(1, Map.of(), route("short", "a.example", "/x/"), route("long", "a.example", "/x/y/"),
 				route("other", "b.example", "/x/y/z/"));
-		assertThat(find(table, "a.example", "/x/y/z/1")).isEqualTo("long");
-		assertThat(find(table, "a.example", "/x/z")).isEqualTo("short");
-		assertThat(find(table, "b.example", "/x/z")).isEqualTo("none");
-		assertThat(find(table, "a.example", "/xy")).isEqualTo("none");
+		assertThat(routeName(table, "a.example", "/x/y/z/1")).isEqualTo("long");
+		assertThat(routeName(table, "a.example", "/x/z")).isEqualTo("short");
+		assertThat(routeName(table, "b.example", "/x/z")).isEqualTo("none");
+		assertThat(routeName(table, "a.example", "/xy")).isEqualTo("none");
 	}
 
 	@Test
-	void theHostIsComparedWithoutItsPortAndCase() {
+	void hostIsComparedWithoutPortAndCase() {
 		RouteTable table = table(1, Map.of(), route("r", "a.example", "/"));
-		assertThat(find(table, "A.Example:8080", "/q")).isEqualTo("r");
-		assertThat(find(table, null, "/q")).isEqualTo("none");
+		assertThat(routeName(table, "A.Example:8080", "/q")).isEqualTo("r");
+		assertThat(routeName(table, null, "/q")).isEqualTo("none");
 	}
 
 	@Test
-	void keysAreNeededOnlyWhereOrganisationsAreConfigured() {
+	void keysAreRequiredOnlyIfOrganisationsAreConfigured() {
 		KeyHolder holder = new KeyHolder("org", 1);
 		assertThat(table(1, Map.of(), route("r", "h", "/")).keysNeeded()).isFalse();
 		RouteTable keyed = table(1, Map.of("k", holder), route("r", "h", "/"));
@@ -58,7 +58,7 @@
 		Random random = new Random(1);
 		int[] drawn = new int[3];
 		for (int i = 0; i < 10_000; i++) {
-			drawn["abc".indexOf(split.drawService(random))]++;
+			drawn["abc".indexOf(split.chooseService(random))]++;
 		}
 		assertThat(drawn[0]).isBetween(8800, 9200);
 		assertThat(drawn[1]).isBetween(800, 1200);
@@ -66,7 +66,7 @@
 	}
 
 	@Test
-	void anOlderTableNeverComesBack() {
+	void olderTableIsRejected() {
 		TableHolder holder = new TableHolder();
 		assertThat(holder.offer(table(5, Map.of()), "test")).isTrue();
 		assertThat(holder.offer(table(4, Map.of()), "test")).isFalse();
@@ -76,7 +76,7 @@
 	}
 
 	@Test
-	void aStreamIsRepeatableOnlyIfItMayBeResumed() {
+	void streamIsRepeatableOnlyIfResumable() {
 		Route stream = new Route("s", "h", "/", Repeat.STREAM, 1, 1, 1, 1, 1, false, false, List.of());
 		Route resumable = new Route("s", "h", "/", Repeat.STREAM, 1, 1, 1, 1, 1, false, true, List.of());
 		Route once = new Route("s", "h", "/", Repeat.AT_MOST_ONCE, 1, 1, 1, 1, 1, false, true, List.of());
--- a/gateway/src/test/java/org/snowwind/gateway/table/TableFreshnessTests.java
+++ b/gateway/src/test/java/org/snowwind/gateway/table/TableFreshnessTests.java
@@ -27,19 +27,19 @@
 			this.clock);
 
 	@BeforeEach
-	void confirm() {
+	void confirmByStore() {
 		this.confirmations.answered(0, 1, 1, 1);
 	}
 
-	private void inForce(long version) {
+	private void applyTable(long version) {
 		this.tables.offer(
 				new RouteTable(version, List.of(), Map.of(), Map.of(), new RequestLimits(1000, 1000), new byte[0]),
 				"test");
 	}
 
 	@Test
-	void aGatewayIsBehindSinceTheFirstNewerVersionThatAPeerTold() {
-		inForce(3);
+	void behindTimeStartsAtFirstNewerPeerVersion() {
+		applyTable(3);
 		this.freshness.told(4, "a:1");
 		this.clock.advance(100);
 		this.freshness.told(6, "b:1");
@@ -49,11 +49,11 @@
 	}
 
 	@Test
-	void aTableThatArrivesEndsIt() {
-		inForce(3);
+	void newerTableEndsBeingBehind() {
+		applyTable(3);
 		this.freshness.told(4, "a:1");
 		this.clock.advance(100);
-		inForce(4);
+		applyTable(4);
 		assertThat(this.freshness.state()).isEqualTo(new TableFreshness.State(4, 100, 4, "a:1", 0));
 		this.clock.advance(500);
 		this.freshness.told(9, "a:1");
@@ -62,26 +62,26 @@
 	}
 
 	@Test
-	void anOlderOrEqualVersionOfAPeerSaysNothing() {
-		inForce(3);
+	void olderOrEqualPeerVersionIsIgnored() {
+		applyTable(3);
 		this.freshness.told(3, "a:1");
 		this.freshness.told(1, "b:1");
 		assertThat(this.freshness.state().isBehind()).isFalse();
 	}
 
 	@Test
-	void aRefusalIsNotFinalWhileAPeerHasANewerTable() {
-		inForce(3);
+	void refusalIsNotFinalWhilePeerHasNewerTable() {
+		applyTable(3);
 		assertThat(this.freshness.isRefusalFinal()).isTrue();
 		this.freshness.told(4, "a:1");
 		assertThat(this.freshness.isRefusalFinal()).isFalse();
-		inForce(4);
+		applyTable(4);
 		assertThat(this.freshness.isRefusalFinal()).isTrue();
 	}
 
 	@Test
-	void aRefusalIsNotFinalWhileTheTableIsUnconfirmedForLongerThanTheBound() {
-		inForce(3);
+	void refusalIsNotFinalWhileTableIsUnconfirmedForLongerThanBound() {
+		applyTable(3);
 		this.clock.advance(BOUND_MILLIS + 1);
 		assertThat(this.freshness.isRefusalFinal()).isFalse();
 		this.confirmations.answered(this.clock.nowMillis(), 1, 1, 1);
@@ -89,8 +89,8 @@
 	}
 
 	@Test
-	void aVersionThatNeverComesDoesNotKeepRefusalsOpen() {
-		inForce(3);
+	void peerVersionThatNeverArrivesDoesNotBlockFinalRefusals() {
+		applyTable(3);
 		this.freshness.told(Long.MAX_VALUE, "a:1");
 		this.clock.advance(BOUND_MILLIS + 1);
 		this.confirmations.answered(this.clock.nowMillis(), 1, 1, 1);
