--- a/agent/src/main/java/org/snowwind/agent/admission/BackendLane.java
+++ b/agent/src/main/java/org/snowwind/agent/admission/BackendLane.java
@@ -8,8 +8,8 @@
 import org.snowwind.agent.backend.BackendProtocol;
 import org.snowwind.decide.admission.ConcurrencyLimit;
 import org.snowwind.decide.admission.FairQueue;
-import org.snowwind.decide.admission.ShareGuard;
-import org.snowwind.decide.admission.WaitEstimate;
+import org.snowwind.decide.admission.SlotReservations;
+import org.snowwind.decide.admission.QueueDelayEstimator;
 import org.snowwind.decide.ledger.Ledger;
 import org.snowwind.http.client.UpstreamClient;
 import org.snowwind.model.MonotonicClock;
@@ -45,9 +45,9 @@
 
 	private final ConcurrencyLimit limit;
 
-	private final ShareGuard shares;
+	private final SlotReservations shares;
 
-	private final WaitEstimate estimate = new WaitEstimate();
+	private final QueueDelayEstimator estimate = new QueueDelayEstimator();
 
 	private final Set<RunningWork> running = new HashSet<>();
 
@@ -66,7 +66,7 @@
 		this.client = client;
 		this.clock = clock;
 		this.ledger = ledger;
-		this.shares = new ShareGuard(weights, PEAK_HALF_LIFE_MILLIS);
+		this.shares = new SlotReservations(weights, PEAK_HALF_LIFE_MILLIS);
 		this.queue = new FairQueue<>(QUANTUM_COST, settings.maxWaitingPerOrganisation(), weights);
 		this.limit = new ConcurrencyLimit(settings.startConcurrency(), Math.max(1, settings.startConcurrency() / 2),
 				settings.maxConcurrency(), TOLERATED_MULTIPLE);
@@ -101,13 +101,13 @@
 		if (waiting == 0 && !full) {
 			return 0;
 		}
-		double places = this.shares.places(organisation, this.limit.current(), this.clock.nowMillis());
-		return this.estimate.waitMillis(waiting, places);
+		double places = this.shares.slots(organisation, this.limit.current(), this.clock.nowMillis());
+		return this.estimate.delayMillis(waiting, places);
 	}
 
 	private void withdraw(Work work) {
 		if (this.queue.remove(work.organisation(), work)) {
-			this.shares.left(work.organisation());
+			this.shares.abandoned(work.organisation());
 		}
 	}
 
@@ -140,7 +140,7 @@
 	public void refuseWaiting(Problem problem) {
 		Optional<Work> next = this.queue.poll();
 		while (next.isPresent()) {
-			this.shares.left(next.get().organisation());
+			this.shares.abandoned(next.get().organisation());
 			Refusals.tell(next.get().exchange(), problem);
 			next = this.queue.poll();
 		}
@@ -160,7 +160,7 @@
 	 * Forgets organisations that have long been away.
 	 */
 	public void forgetIdle() {
-		this.shares.forgetIdle(this.clock.nowMillis());
+		this.shares.removeIdle(this.clock.nowMillis());
 	}
 
 	/**
@@ -188,7 +188,7 @@
 	}
 
 	private void refuseLate(Work work) {
-		this.shares.left(work.organisation());
+		this.shares.abandoned(work.organisation());
 		Refusals.tell(work.exchange(),
 				Problem.notRun(ProblemKind.DEADLINE_NOT_RUN, "its time ran out while it waited"));
 	}
@@ -196,7 +196,7 @@
 	private void begin(Work work) {
 		Ledger.BeginVerdict verdict = this.ledger.begin(work.id());
 		if (verdict != Ledger.BeginVerdict.MAY_BEGIN) {
-			this.shares.left(work.organisation());
+			this.shares.abandoned(work.organisation());
 		}
 		switch (verdict) {
 			case MAY_BEGIN -> run(work);
--- a/decide/src/main/java/org/snowwind/decide/admission/WaitEstimate.java
+++ b/decide/src/main/java/org/snowwind/decide/admission/QueueDelayEstimator.java
@@ -8,7 +8,7 @@
  * Work that could not end before its deadline is rejected when it arrives, not when the
  * deadline has passed, so that its caller is told at once.
  */
-public final class WaitEstimate {
+public final class QueueDelayEstimator {
 
 	private static final double NEW_SAMPLE_WEIGHT = 0.1;
 
@@ -30,7 +30,7 @@
 	 * @param slots how many slots of the back end the organisation can use
 	 * @return the delay, in milliseconds
 	 */
-	public long waitMillis(int ownQueued, double slots) {
+	public long delayMillis(int ownQueued, double slots) {
 		return Math.round((ownQueued + 1) * this.serviceMillis / slots);
 	}
 
--- a/decide/src/main/java/org/snowwind/decide/admission/RetryBudget.java
+++ b/decide/src/main/java/org/snowwind/decide/admission/RetryBudget.java
@@ -29,7 +29,7 @@
 	/**
 	 * Records a first attempt.
 	 */
-	public void firstAttempt() {
+	public void recordFirstAttempt() {
 		this.balance = Math.min(this.maxBalance, this.balance + this.fraction);
 	}
 
@@ -44,7 +44,7 @@
 	/**
 	 * Records a retry.
 	 */
-	public void retried() {
+	public void recordRetry() {
 		this.balance -= 1;
 	}
 
--- a/decide/src/main/java/org/snowwind/decide/admission/ShareGuard.java
+++ b/decide/src/main/java/org/snowwind/decide/admission/SlotReservations.java
@@ -14,7 +14,7 @@
  * its share may not take a slot that another one, below its own share, needed at its
  * recent peak. Slots that no peak claims are available to all, so few stay idle.
  */
-public final class ShareGuard {
+public final class SlotReservations {
 
 	private static final double LN_2 = Math.log(2);
 
@@ -33,7 +33,7 @@
 	 * @param weights the weight of an organisation by its name
 	 * @param halfLifeMillis the time in which a peak decays to half, in milliseconds
 	 */
-	public ShareGuard(ToDoubleFunction<String> weights, double halfLifeMillis) {
+	public SlotReservations(ToDoubleFunction<String> weights, double halfLifeMillis) {
 		this.weights = weights;
 		this.halfLifeMillis = halfLifeMillis;
 	}
@@ -53,7 +53,7 @@
 	 * Records work that left the queue without having begun.
 	 * @param organisation the organisation's name
 	 */
-	public void left(String organisation) {
+	public void abandoned(String organisation) {
 		this.usages.get(organisation).waiting--;
 	}
 
@@ -101,7 +101,7 @@
 	 * @param nowMillis the time, in milliseconds
 	 * @return its running work or its share of the limit, whichever is more
 	 */
-	public double places(String organisation, int limit, long nowMillis) {
+	public double slots(String organisation, int limit, long nowMillis) {
 		Usage own = this.usages.get(organisation);
 		double weight = this.weights.applyAsDouble(organisation);
 		boolean active = own != null && own.active(nowMillis, this.halfLifeMillis);
@@ -134,7 +134,7 @@
 	 * Removes organisations without work whose peak has decayed.
 	 * @param nowMillis the time, in milliseconds
 	 */
-	public void forgetIdle(long nowMillis) {
+	public void removeIdle(long nowMillis) {
 		this.usages.values().removeIf((usage) -> !usage.active(nowMillis, this.halfLifeMillis));
 	}
 
--- a/decide/src/main/java/org/snowwind/decide/admission/TokenBucket.java
+++ b/decide/src/main/java/org/snowwind/decide/admission/TokenBucket.java
@@ -34,7 +34,7 @@
 	 * @param newRatePerSecond how many tokens are added per second
 	 * @param newBurst the capacity, in tokens
 	 */
-	public void limits(double newRatePerSecond, double newBurst) {
+	public void setLimits(double newRatePerSecond, double newBurst) {
 		this.ratePerSecond = newRatePerSecond;
 		this.burst = newBurst;
 		this.tokens = Math.min(this.tokens, newBurst);
--- a/decide/src/main/java/org/snowwind/decide/admission/WindowedRetryBudget.java
+++ b/decide/src/main/java/org/snowwind/decide/admission/WindowedRetryBudget.java
@@ -61,7 +61,7 @@
 	 * Records a request.
 	 * @param nowMillis the time, in milliseconds
 	 */
-	public void request(long nowMillis) {
+	public void recordRequest(long nowMillis) {
 		this.requestMillis.addLast(nowMillis);
 		removeExpired(nowMillis);
 	}
@@ -70,7 +70,7 @@
 	 * Records a retry.
 	 * @param nowMillis the time, in milliseconds
 	 */
-	public void retried(long nowMillis) {
+	public void recordRetry(long nowMillis) {
 		this.retryMillis.addLast(nowMillis);
 	}
 
--- a/decide/src/main/java/org/snowwind/decide/limit/NamedLimit.java
+++ b/decide/src/main/java/org/snowwind/decide/limit/AnnouncedLimit.java
@@ -6,10 +6,10 @@
  * The rate limit that the head of one response announces. It applies to all processes
  * together.
  */
-public sealed interface NamedLimit {
+public sealed interface AnnouncedLimit {
 
 	/** The response announces no limit. */
-	NamedLimit NONE = new None();
+	AnnouncedLimit NONE = new None();
 
 	/** A decimal number without a sign, optionally with an exponent. */
 	Pattern NUMBER = Pattern.compile("(\\d+(\\.\\d*)?|\\.\\d+)([eE][+-]?\\d+)?");
@@ -21,7 +21,7 @@
 	 * header
 	 * @return the limit
 	 */
-	static NamedLimit read(String value) {
+	static AnnouncedLimit parse(String value) {
 		if (value == null) {
 			return NONE;
 		}
@@ -39,14 +39,14 @@
 	 *
 	 * @param perSecond requests per second, 0 or more
 	 */
-	record Rate(double perSecond) implements NamedLimit {
+	record Rate(double perSecond) implements AnnouncedLimit {
 
 	}
 
 	/**
 	 * The response announces no limit.
 	 */
-	record None() implements NamedLimit {
+	record None() implements AnnouncedLimit {
 
 	}
 
@@ -55,7 +55,7 @@
 	 *
 	 * @param text the value of the header
 	 */
-	record Unreadable(String text) implements NamedLimit {
+	record Unreadable(String text) implements AnnouncedLimit {
 
 	}
 
--- a/decide/src/main/java/org/snowwind/decide/limit/ArrivalRate.java
+++ b/decide/src/main/java/org/snowwind/decide/limit/ArrivalRate.java
@@ -19,7 +19,7 @@
 	 * Records a request.
 	 * @param nowMillis the time, in milliseconds
 	 */
-	public void arrived(long nowMillis) {
+	public void recordRequest(long nowMillis) {
 		this.perSecond = perSecond(nowMillis) + MILLIS_PER_SECOND / DECAY_MILLIS;
 		this.updatedMillis = nowMillis;
 	}
--- a/decide/src/main/java/org/snowwind/decide/limit/CallAllowance.java
+++ b/decide/src/main/java/org/snowwind/decide/limit/CallAllowance.java
@@ -32,7 +32,7 @@
 	 * Records a call.
 	 * @param nowMillis the time, in milliseconds
 	 */
-	public void made(long nowMillis) {
+	public void recordCall(long nowMillis) {
 		removeExpired(nowMillis);
 		this.callMillis.addLast(nowMillis);
 	}
@@ -43,7 +43,7 @@
 	 * @param nowMillis the time, in milliseconds
 	 * @return the number of calls; 0 or less if none may be made
 	 */
-	public double left(double limitPerSecond, long nowMillis) {
+	public double remaining(double limitPerSecond, long nowMillis) {
 		removeExpired(nowMillis);
 		return limitPerSecond + EXTRA_CALLS - this.callMillis.size();
 	}
--- a/decide/src/main/java/org/snowwind/decide/limit/GrantedRate.java
+++ b/decide/src/main/java/org/snowwind/decide/limit/GrantedRate.java
@@ -38,7 +38,7 @@
 	 * @param limitPerSecond the server's limit as it is known now
 	 * @param nowMillis the time, in milliseconds
 	 */
-	public void use(RateGrant next, long requestedMillis, double limitPerSecond, long nowMillis) {
+	public void apply(RateGrant next, long requestedMillis, double limitPerSecond, long nowMillis) {
 		accrue(limitPerSecond, nowMillis);
 		this.grant = next;
 		this.expiryMillis = requestedMillis + next.validMillis();
@@ -48,7 +48,7 @@
 			this.singlesExpiryMillis = requestedMillis + SINGLES_MILLIS;
 		}
 		for (int i = 0; i < next.singles(); i++) {
-			this.singlesRate.arrived(nowMillis);
+			this.singlesRate.recordRequest(nowMillis);
 		}
 	}
 
@@ -72,7 +72,7 @@
 	 * @param limitPerSecond the server's limit as it is known now
 	 * @param nowMillis the time, in milliseconds
 	 */
-	public void sent(double limitPerSecond, long nowMillis) {
+	public void recordSent(double limitPerSecond, long nowMillis) {
 		accrue(limitPerSecond, nowMillis);
 		if (this.savedRequests < 1 && hasSingles(nowMillis)) {
 			this.singles--;
@@ -89,7 +89,7 @@
 			this.savedRequests = 0;
 			return;
 		}
-		double scale = Math.min(1, LimitLedger.usableRate(limitPerSecond) / this.grant.limitPerSecond());
+		double scale = Math.min(1, RateAllocator.usableRate(limitPerSecond) / this.grant.limitPerSecond());
 		this.savedRequests = Math.min(this.grant.burst(),
 				this.savedRequests + scale * this.grant.perSecond() * elapsedMillis / MILLIS_PER_SECOND);
 	}
--- a/decide/src/main/java/org/snowwind/decide/limit/LimitWord.java
+++ b/decide/src/main/java/org/snowwind/decide/limit/LimitReport.java
@@ -10,7 +10,7 @@
  * a response that announces the limit arrived or, for a limit that has ended, when the
  * request was sent whose response announces none
  */
-public record LimitWord(double perSecond, long atMillis) {
+public record LimitReport(double perSecond, long atMillis) {
 
 	/** The rate of a limit that has ended. */
 	public static final double ENDED = -1;
--- a/decide/src/main/java/org/snowwind/decide/limit/LimitLedger.java
+++ b/decide/src/main/java/org/snowwind/decide/limit/RateAllocator.java
@@ -14,7 +14,7 @@
  * grants nothing new until the leases of its predecessor have expired; processes keep the
  * shares that they report as held.
  */
-public final class LimitLedger {
+public final class RateAllocator {
 
 	/**
 	 * The lowest rate at which a server is sent requests, in requests per second, however
@@ -67,7 +67,7 @@
 	 * @param nowMillis the time, in milliseconds
 	 * @return the grant
 	 */
-	public RateGrant grant(String process, RateWish demand, boolean coordinator, long leaseMillis, long nowMillis) {
+	public RateGrant grant(String process, RateDemand demand, boolean coordinator, long leaseMillis, long nowMillis) {
 		waitForEarlierLeases(coordinator, leaseMillis, nowMillis);
 		Holder holder = this.holders.computeIfAbsent(process, (name) -> new Holder());
 		holder.requested(demand, leaseMillis, nowMillis);
@@ -111,8 +111,8 @@
 		return this.division.getOrDefault(process, 0.0);
 	}
 
-	private Map<String, RateWish> activeDemands(long leaseMillis, long nowMillis) {
-		Map<String, RateWish> activeDemands = new HashMap<>();
+	private Map<String, RateDemand> activeDemands(long leaseMillis, long nowMillis) {
+		Map<String, RateDemand> activeDemands = new HashMap<>();
 		this.holders.forEach((process, holder) -> {
 			if (holder.isRequesting(leaseMillis, nowMillis)) {
 				activeDemands.put(process, holder.demand);
@@ -130,7 +130,7 @@
 	}
 
 	// The unallocated rate serves processes that have too few requests to hold a share.
-	private int singles(RateWish demand, double rate, long nowMillis) {
+	private int singles(RateDemand demand, double rate, long nowMillis) {
 		double unallocated = Math.max(0, rate - outstandingExcept("", nowMillis));
 		double maxSaved = Math.max(1, Math.min(MAX_BURST, rate));
 		this.savedSingles = Math.min(maxSaved,
@@ -150,7 +150,7 @@
 	 * @param nowMillis the time, in milliseconds
 	 * @return whether no process is left
 	 */
-	public boolean forget(long nowMillis) {
+	public boolean removeExpired(long nowMillis) {
 		this.holders.values()
 			.removeIf((holder) -> nowMillis >= holder.expiryMillis && nowMillis >= holder.previousExpiryMillis);
 		return this.holders.isEmpty();
@@ -161,7 +161,7 @@
 	 */
 	private static final class Holder {
 
-		private RateWish demand;
+		private RateDemand demand;
 
 		private long requestedMillis;
 
@@ -177,7 +177,7 @@
 
 		private long previousExpiryMillis = Long.MIN_VALUE;
 
-		private void requested(RateWish next, long leaseMillis, long nowMillis) {
+		private void requested(RateDemand next, long leaseMillis, long nowMillis) {
 			boolean grantedHere = this.expiryMillis != Long.MIN_VALUE;
 			this.demand = next;
 			this.requestedMillis = nowMillis;
--- a/decide/src/main/java/org/snowwind/decide/limit/RateWish.java
+++ b/decide/src/main/java/org/snowwind/decide/limit/RateDemand.java
@@ -9,6 +9,6 @@
  * @param heldPerSecond the share that the process holds, in requests per second
  * @param waiting how many requests of the process wait for a server of this service
  */
-public record RateWish(double limitPerSecond, double wantedPerSecond, double heldPerSecond, int waiting) {
+public record RateDemand(double limitPerSecond, double wantedPerSecond, double heldPerSecond, int waiting) {
 
 }
--- a/decide/src/main/java/org/snowwind/decide/limit/RateShares.java
+++ b/decide/src/main/java/org/snowwind/decide/limit/RateShares.java
@@ -40,7 +40,7 @@
 
 	private final double perSecond;
 
-	private final Map<String, RateWish> demands;
+	private final Map<String, RateDemand> demands;
 
 	private final double demandFactor;
 
@@ -48,10 +48,10 @@
 
 	private double unallocated;
 
-	private RateShares(double perSecond, Map<String, RateWish> demands) {
+	private RateShares(double perSecond, Map<String, RateDemand> demands) {
 		this.perSecond = perSecond;
 		this.demands = demands;
-		double wanted = demands.values().stream().mapToDouble(RateWish::wantedPerSecond).sum();
+		double wanted = demands.values().stream().mapToDouble(RateDemand::wantedPerSecond).sum();
 		this.demandFactor = (wanted > perSecond) ? 1 / SCARCE_RATE_DIVISOR : AMPLE_RATE_FACTOR;
 		this.unallocated = perSecond;
 	}
@@ -63,7 +63,7 @@
 	 * @param previous the current shares, by process, in requests per second
 	 * @return the new shares; a process without a share has no entry
 	 */
-	static Map<String, Double> of(double perSecond, Map<String, RateWish> demands, Map<String, Double> previous) {
+	static Map<String, Double> of(double perSecond, Map<String, RateDemand> demands, Map<String, Double> previous) {
 		RateShares division = new RateShares(perSecond, demands);
 		division.keepHolders(previous);
 		if (division.unallocated > MAX_UNALLOCATED * perSecond) {
@@ -79,7 +79,7 @@
 		double sum = previous.values().stream().mapToDouble(Double::doubleValue).sum();
 		double reduction = Math.min(1, this.perSecond / Math.max(sum, this.perSecond));
 		previous.forEach((process, share) -> {
-			RateWish demand = this.demands.get(process);
+			RateDemand demand = this.demands.get(process);
 			double kept = reduction * share;
 			if (demand != null && demand.wantedPerSecond() >= MIN_USE_TO_KEEP * kept
 					&& this.shares.size() < maxHolders()) {
--- a/decide/src/main/java/org/snowwind/decide/limit/ServerLimit.java
+++ b/decide/src/main/java/org/snowwind/decide/limit/ServerLimit.java
@@ -20,7 +20,7 @@
 
 	private boolean known;
 
-	private double perSecond = LimitWord.ENDED;
+	private double perSecond = LimitReport.ENDED;
 
 	/** The time of the latest update. */
 	private long updatedMillis;
@@ -37,9 +37,9 @@
 	 * @param nowMillis the time, in milliseconds
 	 * @return whether this changes the known limit
 	 */
-	public boolean named(double rate, long sentMillis, long nowMillis) {
+	public boolean onAnnouncement(double rate, long sentMillis, long nowMillis) {
 		boolean surelyNewer = sentMillis > this.updatedMillis;
-		if (this.known && !surelyNewer && (!stands() || rate > this.perSecond)) {
+		if (this.known && !surelyNewer && (!isActive() || rate > this.perSecond)) {
 			return false;
 		}
 		return update(rate, nowMillis, nowMillis);
@@ -51,12 +51,12 @@
 	 * @param nowMillis the time, in milliseconds
 	 * @return whether this ends a limit
 	 */
-	public boolean unnamed(long sentMillis, long nowMillis) {
-		if (!stands() || sentMillis <= this.updatedMillis) {
+	public boolean onNoAnnouncement(long sentMillis, long nowMillis) {
+		if (!isActive() || sentMillis <= this.updatedMillis) {
 			return false;
 		}
 		this.endSentMillis = sentMillis;
-		return update(LimitWord.ENDED, nowMillis, nowMillis);
+		return update(LimitReport.ENDED, nowMillis, nowMillis);
 	}
 
 	/**
@@ -65,14 +65,14 @@
 	 * @param nowMillis the time, in milliseconds
 	 * @return whether this changes the known limit
 	 */
-	public boolean heard(LimitWord report, long nowMillis) {
+	public boolean onPeerReport(LimitReport report, long nowMillis) {
 		if (report.ended()) {
-			boolean newer = stands() && report.atMillis() - MAX_TRANSIT_MILLIS > this.updatedMillis;
+			boolean newer = isActive() && report.atMillis() - MAX_TRANSIT_MILLIS > this.updatedMillis;
 			this.endSentMillis = newer ? report.atMillis() : this.endSentMillis;
-			return newer && update(LimitWord.ENDED, report.atMillis(), nowMillis);
+			return newer && update(LimitReport.ENDED, report.atMillis(), nowMillis);
 		}
 		boolean newer = !this.known || report.atMillis() - MAX_TRANSIT_MILLIS > this.updatedMillis;
-		boolean lower = stands() && report.perSecond() < this.perSecond
+		boolean lower = isActive() && report.perSecond() < this.perSecond
 				&& report.atMillis() + MAX_TRANSIT_MILLIS > this.updatedMillis;
 		return (newer || lower)
 				&& update(report.perSecond(), Math.max(report.atMillis(), this.updatedMillis), nowMillis);
@@ -91,13 +91,13 @@
 	 * Returns whether a limit is active.
 	 * @return true if the server is known to announce one
 	 */
-	public boolean stands() {
+	public boolean isActive() {
 		return this.known && this.perSecond >= 0;
 	}
 
 	/**
 	 * Returns the limit.
-	 * @return requests per second; {@link LimitWord#ENDED} if none is active
+	 * @return requests per second; {@link LimitReport#ENDED} if none is active
 	 */
 	public double perSecond() {
 		return this.perSecond;
@@ -107,7 +107,7 @@
 	 * Returns whether the server ever announced a limit.
 	 * @return true if there is a report for peers
 	 */
-	public boolean known() {
+	public boolean isKnown() {
 		return this.known;
 	}
 
@@ -123,8 +123,8 @@
 	 * Returns the report for peers.
 	 * @return the newest known state of the limit
 	 */
-	public LimitWord word() {
-		return new LimitWord(this.perSecond, stands() ? this.updatedMillis : this.endSentMillis);
+	public LimitReport report() {
+		return new LimitReport(this.perSecond, isActive() ? this.updatedMillis : this.endSentMillis);
 	}
 
 }
--- a/decide/src/main/java/org/snowwind/decide/notice/RetryAfterHeader.java
+++ b/decide/src/main/java/org/snowwind/decide/notice/RetryAfterHeader.java
@@ -7,7 +7,7 @@
 import java.util.OptionalLong;
 import java.util.concurrent.TimeUnit;
 
-import org.snowwind.decide.limit.NamedLimit;
+import org.snowwind.decide.limit.AnnouncedLimit;
 
 /**
  * Parses the value of {@code Retry-After}.
@@ -39,7 +39,7 @@
 	public static OptionalLong parseMillis(String value, String responseDate) {
 		double seconds = -1;
 		for (String part : value.split(",", -1)) {
-			if (NamedLimit.NUMBER.matcher(part.strip()).matches()) {
+			if (AnnouncedLimit.NUMBER.matcher(part.strip()).matches()) {
 				seconds = Math.max(seconds, Double.parseDouble(part.strip()));
 			}
 		}
--- a/decide/src/main/java/org/snowwind/decide/notice/ServerNotice.java
+++ b/decide/src/main/java/org/snowwind/decide/notice/ServerNotice.java
@@ -1,6 +1,6 @@
 package org.snowwind.decide.notice;
 
-import org.snowwind.decide.limit.NamedLimit;
+import org.snowwind.decide.limit.AnnouncedLimit;
 
 /**
  * What a response head announces about the requests that its server will accept next.
@@ -11,9 +11,9 @@
  * @param leaving whether the server announces that it is leaving
  * @param unreadable header values that cannot be parsed, empty if there are none
  */
-public record ServerNotice(NamedLimit limit, long retryAfterMillis, boolean leaving, String unreadable) {
+public record ServerNotice(AnnouncedLimit limit, long retryAfterMillis, boolean leaving, String unreadable) {
 
 	/** The notice of a head that announces nothing. */
-	public static final ServerNotice NONE = new ServerNotice(NamedLimit.NONE, 0, false, "");
+	public static final ServerNotice NONE = new ServerNotice(AnnouncedLimit.NONE, 0, false, "");
 
 }
--- a/decide/src/test/java/org/snowwind/decide/admission/LimitTests.java
+++ b/decide/src/test/java/org/snowwind/decide/admission/LimitTests.java
@@ -21,10 +21,10 @@
 	void retriesAreLimitedToAFractionOfFirstAttempts() {
 		RetryBudget budget = new RetryBudget(0.5, 1);
 		assertThat(budget.allows()).isTrue();
-		budget.retried();
-		budget.firstAttempt();
+		budget.recordRetry();
+		budget.recordFirstAttempt();
 		assertThat(budget.allows()).isFalse();
-		budget.firstAttempt();
+		budget.recordFirstAttempt();
 		assertThat(budget.allows()).isTrue();
 	}
 
@@ -49,10 +49,10 @@
 
 	@Test
 	void theQueueingDelayIsEstimatedFromTheDurationOfWork() {
-		WaitEstimate estimate = new WaitEstimate();
+		QueueDelayEstimator estimate = new QueueDelayEstimator();
 		estimate.ended(200);
-		assertThat(estimate.waitMillis(0, 4)).isEqualTo(50);
-		assertThat(estimate.waitMillis(7, 4)).isEqualTo(400);
+		assertThat(estimate.delayMillis(0, 4)).isEqualTo(50);
+		assertThat(estimate.delayMillis(7, 4)).isEqualTo(400);
 		assertThat(estimate.serviceMillis()).isEqualTo(200);
 	}
 
--- a/decide/src/test/java/org/snowwind/decide/admission/ShareGuardTests.java
+++ b/decide/src/test/java/org/snowwind/decide/admission/SlotReservationsTests.java
@@ -4,11 +4,11 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-class ShareGuardTests {
+class SlotReservationsTests {
 
 	private static final int LIMIT = 8;
 
-	private final ShareGuard guard = new ShareGuard((organisation) -> 1, 1000);
+	private final SlotReservations guard = new SlotReservations((organisation) -> 1, 1000);
 
 	private int begin(String organisation, int wanted, long nowMillis) {
 		int begun = 0;
@@ -19,7 +19,7 @@
 				begun++;
 			}
 			else {
-				this.guard.left(organisation);
+				this.guard.abandoned(organisation);
 			}
 		}
 		return begun;
@@ -58,14 +58,14 @@
 	@Test
 	void slotsOfAnOrganisationAreItsRunningWorkOrItsShare() {
 		begin("flood", 6, 0);
-		assertThat(this.guard.places("flood", LIMIT, 1)).isEqualTo(LIMIT);
-		assertThat(this.guard.places("newcomer", LIMIT, 1)).isEqualTo(LIMIT / 2.0);
+		assertThat(this.guard.slots("flood", LIMIT, 1)).isEqualTo(LIMIT);
+		assertThat(this.guard.slots("newcomer", LIMIT, 1)).isEqualTo(LIMIT / 2.0);
 	}
 
 	@Test
 	void idleOrganisationsAreRemoved() {
 		end("quiet", begin("quiet", 2, 0));
-		this.guard.forgetIdle(10_000);
+		this.guard.removeIdle(10_000);
 		assertThat(begin("flood", 20, 10_000)).isEqualTo(LIMIT);
 	}
 
--- a/decide/src/test/java/org/snowwind/decide/admission/WindowedRetryBudgetTests.java
+++ b/decide/src/test/java/org/snowwind/decide/admission/WindowedRetryBudgetTests.java
@@ -32,7 +32,7 @@
 	@Test
 	void spentRetriesAreAvailableAgainAfterTheWindow() {
 		WindowedRetryBudget budget = new WindowedRetryBudget(0, 2, WINDOW_MILLIS, LONG_AGO);
-		budget.retried(0);
+		budget.recordRetry(0);
 		assertThat(budget.allows(9_999, 1)).isFalse();
 		assertThat(budget.allows(10_000, 1)).isTrue();
 	}
@@ -50,11 +50,11 @@
 			long nowMillis = now;
 			WindowedRetryBudget budget = budgets.get(random.nextInt(processes));
 			if (random.nextInt(3) == 0) {
-				budget.request(now);
+				budget.recordRequest(now);
 				requestMillis.add(now);
 			}
 			while (budget.allows(now, processes) && random.nextInt(4) != 0) {
-				budget.retried(now);
+				budget.recordRetry(now);
 				retryMillis.add(now);
 			}
 			requestMillis.removeIf((atMillis) -> atMillis <= nowMillis - WINDOW_MILLIS);
@@ -111,7 +111,7 @@
 		WindowedRetryBudget budget = new WindowedRetryBudget(0.2, 90, WINDOW_MILLIS, LONG_AGO);
 		assertThat(budget.allows(0, 0)).isFalse();
 		for (int i = 0; i < 10; i++) {
-			budget.request(0);
+			budget.recordRequest(0);
 		}
 		assertThat(budget.allows(0, 0)).isTrue();
 	}
@@ -126,7 +126,7 @@
 	private static int spendAll(WindowedRetryBudget budget, long nowMillis, int processes) {
 		int spent = 0;
 		while (budget.allows(nowMillis, processes)) {
-			budget.retried(nowMillis);
+			budget.recordRetry(nowMillis);
 			spent++;
 		}
 		return spent;
@@ -174,7 +174,7 @@
 				this.requestMillis.add(nowMillis);
 				int process = this.random.nextInt(this.budgets.size());
 				if (this.startMillis.get(process) <= nowMillis) {
-					this.budgets.get(process).request(nowMillis);
+					this.budgets.get(process).recordRequest(nowMillis);
 				}
 			}
 		}
@@ -184,7 +184,7 @@
 				boolean up = this.startMillis.get(i) <= nowMillis;
 				while (up && this.budgets.get(i).allows(nowMillis, this.budgets.size())
 						&& this.random.nextDouble() < retryProbability) {
-					this.budgets.get(i).retried(nowMillis);
+					this.budgets.get(i).recordRetry(nowMillis);
 					this.retryMillis.add(nowMillis);
 				}
 			}
--- a/decide/src/test/java/org/snowwind/decide/limit/CallAllowanceTests.java
+++ b/decide/src/test/java/org/snowwind/decide/limit/CallAllowanceTests.java
@@ -13,18 +13,18 @@
 
 	@Test
 	void onlyCallsInTheWindowCountAgainstTheAllowance() {
-		this.allowance.made(1000);
-		this.allowance.made(1000);
-		assertThat(this.allowance.left(1, 1500)).isEqualTo(2);
-		this.allowance.made(3000);
-		this.allowance.made(3000);
-		assertThat(this.allowance.left(1, 4999)).isZero();
-		assertThat(this.allowance.left(1, 5000)).isEqualTo(2);
+		this.allowance.recordCall(1000);
+		this.allowance.recordCall(1000);
+		assertThat(this.allowance.remaining(1, 1500)).isEqualTo(2);
+		this.allowance.recordCall(3000);
+		this.allowance.recordCall(3000);
+		assertThat(this.allowance.remaining(1, 4999)).isZero();
+		assertThat(this.allowance.remaining(1, 5000)).isEqualTo(2);
 	}
 
 	@Test
 	void aServerWithALimitOfZeroCanStillBeQueried() {
-		assertThat(this.allowance.left(0, 1000)).isEqualTo(3);
+		assertThat(this.allowance.remaining(0, 1000)).isEqualTo(3);
 	}
 
 }
--- a/decide/src/test/java/org/snowwind/decide/limit/LimitModel.java
+++ b/decide/src/test/java/org/snowwind/decide/limit/LimitModel.java
@@ -11,7 +11,7 @@
 /**
  * Simulates processes that share one rate-limited server in virtual time. Messages
  * between the processes are delayed or lost, and processes are restarted, frozen and
- * partitioned from the others. Each process uses the production {@link LimitLedger} and
+ * partitioned from the others. Each process uses the production {@link RateAllocator} and
  * {@link GrantedRate}.
  */
 final class LimitModel {
@@ -220,7 +220,7 @@
 
 		private double weight = 1;
 
-		private LimitLedger ledger;
+		private RateAllocator ledger;
 
 		private GrantedRate granted;
 
@@ -247,11 +247,11 @@
 		}
 
 		private void start(long atMillis) {
-			this.ledger = new LimitLedger();
+			this.ledger = new RateAllocator();
 			this.granted = new GrantedRate();
 			this.arrivals = new ArrivalRate();
 			this.waiting = 0;
-			this.knownLimit = LimitWord.ENDED;
+			this.knownLimit = LimitReport.ENDED;
 			Arrays.fill(this.lastReportMillis, Long.MIN_VALUE / 2);
 			this.nextReportMillis = atMillis + LimitModel.this.random.nextLong(LimitModel.this.reportPeriodMillis);
 			this.nextRequestMillis = atMillis + LimitModel.this.random.nextLong(LimitModel.this.requestPeriodMillis);
@@ -277,7 +277,7 @@
 			arrive();
 			while (this.waiting > 0 && this.granted.allows(this.knownLimit, LimitModel.this.nowMillis)) {
 				this.waiting--;
-				this.granted.sent(this.knownLimit, LimitModel.this.nowMillis);
+				this.granted.recordSent(this.knownLimit, LimitModel.this.nowMillis);
 				sent();
 			}
 			if (LimitModel.this.nowMillis >= this.nextReportMillis) {
@@ -294,7 +294,7 @@
 			double expected = LimitModel.this.arrivalsPerProcess * this.weight * TICK_MILLIS / 1000;
 			while (LimitModel.this.random.nextDouble() < expected) {
 				expected -= 1;
-				this.arrivals.arrived(LimitModel.this.nowMillis);
+				this.arrivals.recordRequest(LimitModel.this.nowMillis);
 				this.waiting = Math.min(this.waiting + 1, 5);
 			}
 		}
@@ -324,7 +324,7 @@
 		private void requestGrant() {
 			int coordinator = coordinator();
 			long requestedMillis = LimitModel.this.nowMillis;
-			RateWish demand = new RateWish(this.knownLimit, this.arrivals.perSecond(requestedMillis),
+			RateDemand demand = new RateDemand(this.knownLimit, this.arrivals.perSecond(requestedMillis),
 					this.granted.perSecond(requestedMillis), this.waiting);
 			GrantedRate grantedAtRequest = this.granted;
 			SimulatedProcess other = LimitModel.this.processes.get(coordinator);
@@ -333,7 +333,7 @@
 						LimitModel.this.leaseMillis, LimitModel.this.nowMillis);
 				LimitModel.this.send(coordinator, this.number, () -> {
 					if (this.granted == grantedAtRequest && LimitModel.this.nowMillis - requestedMillis < 800) {
-						this.granted.use(grant, requestedMillis, this.knownLimit, LimitModel.this.nowMillis);
+						this.granted.apply(grant, requestedMillis, this.knownLimit, LimitModel.this.nowMillis);
 					}
 				});
 			});
--- a/decide/src/test/java/org/snowwind/decide/limit/LimitLedgerTests.java
+++ b/decide/src/test/java/org/snowwind/decide/limit/RateAllocatorTests.java
@@ -6,9 +6,9 @@
 import static org.assertj.core.api.Assertions.within;
 
 /**
- * Tests for {@link LimitLedger}.
+ * Tests for {@link RateAllocator}.
  */
-class LimitLedgerTests {
+class RateAllocatorTests {
 
 	private static final long LEASE_MILLIS = 1000;
 
@@ -17,12 +17,12 @@
 	 */
 	private static final long SETTLED_MILLIS = 10_000;
 
-	private final LimitLedger ledger = new LimitLedger();
+	private final RateAllocator ledger = new RateAllocator();
 
 	private long nowMillis = 5000;
 
 	private RateGrant request(String process, double limit, double wanted, double held, int waiting) {
-		return this.ledger.grant(process, new RateWish(limit, wanted, held, waiting), true, LEASE_MILLIS,
+		return this.ledger.grant(process, new RateDemand(limit, wanted, held, waiting), true, LEASE_MILLIS,
 				this.nowMillis);
 	}
 
@@ -51,7 +51,7 @@
 	@Test
 	void aProcessThatIsNotTheCoordinatorGrantsNothingNew() {
 		settle("a");
-		RateGrant grant = this.ledger.grant("a", new RateWish(10, 50, 0, 2), false, LEASE_MILLIS, this.nowMillis);
+		RateGrant grant = this.ledger.grant("a", new RateDemand(10, 50, 0, 2), false, LEASE_MILLIS, this.nowMillis);
 		assertThat(grant.perSecond() + grant.singles()).isZero();
 	}
 
@@ -83,7 +83,7 @@
 			singles += request("a", 0, 0.5, 0, 1).singles();
 			this.nowMillis += 100;
 		}
-		assertThat(singles / 60.0).isCloseTo(LimitLedger.MIN_PER_SECOND, within(0.03));
+		assertThat(singles / 60.0).isCloseTo(RateAllocator.MIN_PER_SECOND, within(0.03));
 	}
 
 	@Test
@@ -110,8 +110,8 @@
 	void processesWithExpiredLeasesAreRemoved() {
 		settle("a");
 		request("a", 10, 50, 0, 0);
-		assertThat(this.ledger.forget(this.nowMillis)).isFalse();
-		assertThat(this.ledger.forget(this.nowMillis + 2 * LEASE_MILLIS)).isTrue();
+		assertThat(this.ledger.removeExpired(this.nowMillis)).isFalse();
+		assertThat(this.ledger.removeExpired(this.nowMillis + 2 * LEASE_MILLIS)).isTrue();
 	}
 
 }
--- a/entry/src/main/java/org/snowwind/entry/limit/OrganisationGates.java
+++ b/entry/src/main/java/org/snowwind/entry/limit/OrganisationGates.java
@@ -51,7 +51,7 @@
 	 */
 	public Problem enter(String organisation, OrganisationSpec spec) {
 		Gate gate = this.gates.computeIfAbsent(organisation, (name) -> newGate(spec));
-		gate.bucket.limits(spec.requestsPerSecond() / this.liveEntries, spec.burstRequests());
+		gate.bucket.setLimits(spec.requestsPerSecond() / this.liveEntries, spec.burstRequests());
 		if (gate.open >= spec.maxOpenRequests()) {
 			return Problem
 				.notRun(ProblemKind.TOO_MANY_OPEN, "the organisation has " + gate.open + " requests open here")
--- a/entry/src/main/java/org/snowwind/entry/request/RequestFlow.java
+++ b/entry/src/main/java/org/snowwind/entry/request/RequestFlow.java
@@ -113,7 +113,7 @@
 			finish(Disclosure.NOT_RUN, ProblemKind.DEADLINE_NOT_RUN);
 			return;
 		}
-		retryBudget().firstAttempt();
+		retryBudget().recordFirstAttempt();
 		send();
 	}
 
@@ -160,7 +160,7 @@
 			return;
 		}
 		if (this.attemptsUsed > 0) {
-			retryBudget().retried();
+			retryBudget().recordRetry();
 		}
 		endSequence();
 		this.attemptsUsed++;
--- a/gateway/src/main/java/org/snowwind/gateway/backend/Backend.java
+++ b/gateway/src/main/java/org/snowwind/gateway/backend/Backend.java
@@ -298,7 +298,7 @@
 	 */
 	public void refused(long nowMillis) {
 		withdrawn();
-		boolean hasAnnouncedReason = limit().known().stands() || this.notices.backoff().isActive(nowMillis);
+		boolean hasAnnouncedReason = limit().known().isActive() || this.notices.backoff().isActive(nowMillis);
 		if (this.group != null && !hasAnnouncedReason) {
 			this.group.onRejection(nowMillis);
 		}
--- a/gateway/src/main/java/org/snowwind/gateway/backend/BackendLimit.java
+++ b/gateway/src/main/java/org/snowwind/gateway/backend/BackendLimit.java
@@ -1,8 +1,8 @@
 package org.snowwind.gateway.backend;
 
 import org.snowwind.decide.limit.GrantedRate;
-import org.snowwind.decide.limit.LimitWord;
-import org.snowwind.decide.limit.NamedLimit;
+import org.snowwind.decide.limit.LimitReport;
+import org.snowwind.decide.limit.AnnouncedLimit;
 import org.snowwind.decide.limit.RateGrant;
 import org.snowwind.decide.limit.ServerLimit;
 import org.snowwind.gateway.registry.BackendRun;
@@ -55,16 +55,16 @@
 	 * @param sentMillis when the request was sent, in milliseconds
 	 * @param nowMillis the time, in milliseconds
 	 */
-	public void onResponseHead(NamedLimit limit, boolean signed, long sentMillis, long nowMillis) {
+	public void onResponseHead(AnnouncedLimit limit, boolean signed, long sentMillis, long nowMillis) {
 		double before = this.known.perSecond();
-		if (limit instanceof NamedLimit.Rate rate) {
-			logChange(this.known.named(rate.perSecond(), sentMillis, nowMillis), before, OWN_RESPONSE, nowMillis);
+		if (limit instanceof AnnouncedLimit.Rate rate) {
+			logChange(this.known.onAnnouncement(rate.perSecond(), sentMillis, nowMillis), before, OWN_RESPONSE, nowMillis);
 		}
-		else if (limit instanceof NamedLimit.Unreadable unreadable) {
+		else if (limit instanceof AnnouncedLimit.Unreadable unreadable) {
 			logUnreadable(unreadable);
 		}
 		else if (signed) {
-			logChange(this.known.unnamed(sentMillis, nowMillis), before, OWN_RESPONSE, nowMillis);
+			logChange(this.known.onNoAnnouncement(sentMillis, nowMillis), before, OWN_RESPONSE, nowMillis);
 		}
 	}
 
@@ -73,12 +73,12 @@
 	 * @param announcement the announcement, with times by the local clock
 	 * @param nowMillis the time, in milliseconds
 	 */
-	public void onPeerAnnouncement(LimitWord announcement, long nowMillis) {
+	public void onPeerAnnouncement(LimitReport announcement, long nowMillis) {
 		double before = this.known.perSecond();
-		logChange(this.known.heard(announcement, nowMillis), before, PEER, nowMillis);
+		logChange(this.known.onPeerReport(announcement, nowMillis), before, PEER, nowMillis);
 	}
 
-	private void logUnreadable(NamedLimit.Unreadable unreadable) {
+	private void logUnreadable(AnnouncedLimit.Unreadable unreadable) {
 		if (!this.unreadableLogged) {
 			this.unreadableLogged = true;
 			EventLog.log(Event.SERVER_LIMIT_UNREADABLE, "server", this.run.id(), "text", unreadable.text());
@@ -90,10 +90,10 @@
 			return;
 		}
 		this.nextLogMillis = nowMillis + LOG_PERIOD_MILLIS;
-		Event event = this.known.stands() ? Event.SERVER_LIMIT_NAMED : Event.SERVER_LIMIT_ENDED;
+		Event event = this.known.isActive() ? Event.SERVER_LIMIT_NAMED : Event.SERVER_LIMIT_ENDED;
 		EventLog.log(event, "server", this.run.id(), "bornMillis", this.run.bornMillis(), "perSecond",
 				this.known.perSecond(), "before", before, "source", source, "ageMillis",
-				nowMillis - this.known.word().atMillis());
+				nowMillis - this.known.report().atMillis());
 	}
 
 	/**
@@ -104,7 +104,7 @@
 	 * @return true if no limit is active or the share of this process allows a request
 	 */
 	boolean allows(long nowMillis) {
-		return !this.known.stands() || this.granted.allows(this.known.perSecond(), nowMillis);
+		return !this.known.isActive() || this.granted.allows(this.known.perSecond(), nowMillis);
 	}
 
 	/**
@@ -112,8 +112,8 @@
 	 * @param nowMillis the time, in milliseconds
 	 */
 	void sent(long nowMillis) {
-		if (this.known.stands()) {
-			this.granted.sent(this.known.perSecond(), nowMillis);
+		if (this.known.isActive()) {
+			this.granted.recordSent(this.known.perSecond(), nowMillis);
 		}
 	}
 
@@ -124,7 +124,7 @@
 	 * @param nowMillis the time, in milliseconds
 	 */
 	void applyGrant(RateGrant grant, long askedMillis, long nowMillis) {
-		this.granted.use(grant, askedMillis, this.known.perSecond(), nowMillis);
+		this.granted.apply(grant, askedMillis, this.known.perSecond(), nowMillis);
 		boolean holdsNow = grant.perSecond() > 0;
 		if (holdsNow != this.holdsShare && nowMillis >= this.nextGrantLogMillis) {
 			this.holdsShare = holdsNow;
@@ -150,7 +150,7 @@
 	 * @return requests per second; {@link Double#POSITIVE_INFINITY} if no limit is active
 	 */
 	double expectedPerSecond(long nowMillis) {
-		return this.known.stands() ? this.granted.expectedPerSecond(nowMillis) : Double.POSITIVE_INFINITY;
+		return this.known.isActive() ? this.granted.expectedPerSecond(nowMillis) : Double.POSITIVE_INFINITY;
 	}
 
 	/**
--- a/gateway/src/main/java/org/snowwind/gateway/backend/SharedLimits.java
+++ b/gateway/src/main/java/org/snowwind/gateway/backend/SharedLimits.java
@@ -11,10 +11,10 @@
 import java.util.stream.Stream;
 
 import org.snowwind.decide.limit.ArrivalRate;
-import org.snowwind.decide.limit.LimitLedger;
-import org.snowwind.decide.limit.LimitWord;
+import org.snowwind.decide.limit.RateAllocator;
+import org.snowwind.decide.limit.LimitReport;
 import org.snowwind.decide.limit.RateGrant;
-import org.snowwind.decide.limit.RateWish;
+import org.snowwind.decide.limit.RateDemand;
 import org.snowwind.gateway.registry.BackendRun;
 import org.snowwind.model.MonotonicClock;
 
@@ -59,7 +59,7 @@
 	 * @param service the service's name
 	 */
 	public void arrived(String service) {
-		this.arrivals.computeIfAbsent(service, (name) -> new ArrivalRate()).arrived(this.clock.nowMillis());
+		this.arrivals.computeIfAbsent(service, (name) -> new ArrivalRate()).recordRequest(this.clock.nowMillis());
 	}
 
 	/**
@@ -110,11 +110,11 @@
 	 * @return the active limits, the announcements for peers, and the demand
 	 */
 	public Snapshot snapshot() {
-		List<Backend> known = this.backends.get().filter((backend) -> backend.limit().known().known()).toList();
+		List<Backend> known = this.backends.get().filter((backend) -> backend.limit().known().isKnown()).toList();
 		if (known.isEmpty()) {
 			return Snapshot.NONE;
 		}
-		List<Backend> limited = known.stream().filter((backend) -> backend.limit().known().stands()).toList();
+		List<Backend> limited = known.stream().filter((backend) -> backend.limit().known().isActive()).toList();
 		Map<String, Double> active = limited.stream()
 			.collect(Collectors.toUnmodifiableMap(Backend::id, (backend) -> backend.limit().known().perSecond()));
 		return new Snapshot(active, announcements(known), wishes(limited));
@@ -125,7 +125,7 @@
 		return known.stream()
 			.sorted(byChange.reversed())
 			.limit(MAX_ANNOUNCEMENTS)
-			.map((backend) -> new Word(backend.entry().run(), backend.limit().known().word()))
+			.map((backend) -> new Word(backend.entry().run(), backend.limit().known().report()))
 			.toList();
 	}
 
@@ -153,7 +153,7 @@
 		return limited.stream().filter(Backend::takesNewWork).map((backend) -> {
 			String service = backend.entry().service();
 			double wanted = arrivalRate(service, nowMillis) * usableRate(backend) / rates.get(service);
-			return new Wish(backend.entry().run(), new RateWish(backend.limit().known().perSecond(), wanted,
+			return new Wish(backend.entry().run(), new RateDemand(backend.limit().known().perSecond(), wanted,
 					backend.limit().grantedPerSecond(nowMillis), waiting(service)));
 		}).toList();
 	}
@@ -164,7 +164,7 @@
 	}
 
 	private static double usableRate(Backend backend) {
-		return LimitLedger.usableRate(backend.limit().known().perSecond());
+		return RateAllocator.usableRate(backend.limit().known().perSecond());
 	}
 
 	/**
@@ -206,7 +206,7 @@
 	 * @param run the incarnation of the server
 	 * @param word the announced limit
 	 */
-	public record Word(BackendRun run, LimitWord word) {
+	public record Word(BackendRun run, LimitReport word) {
 
 	}
 
@@ -216,7 +216,7 @@
 	 * @param run the incarnation of the server
 	 * @param wish the demand
 	 */
-	public record Wish(BackendRun run, RateWish wish) {
+	public record Wish(BackendRun run, RateDemand wish) {
 
 	}
 
--- a/gateway/src/main/java/org/snowwind/gateway/limit/LimitDuty.java
+++ b/gateway/src/main/java/org/snowwind/gateway/limit/LimitDuty.java
@@ -78,7 +78,7 @@
 
 	private final MonotonicClock clock;
 
-	private final LimitLedgers ledgers = new LimitLedgers();
+	private final RateAllocators ledgers = new RateAllocators();
 
 	private final Map<String, ThriftLink<GatewayControl.AsyncClient>> links = new HashMap<>();
 
--- a/gateway/src/main/java/org/snowwind/gateway/limit/LimitMessages.java
+++ b/gateway/src/main/java/org/snowwind/gateway/limit/LimitMessages.java
@@ -2,9 +2,9 @@
 
 import java.util.List;
 
-import org.snowwind.decide.limit.LimitWord;
+import org.snowwind.decide.limit.LimitReport;
 import org.snowwind.decide.limit.RateGrant;
-import org.snowwind.decide.limit.RateWish;
+import org.snowwind.decide.limit.RateDemand;
 import org.snowwind.gateway.backend.SharedLimits.Grant;
 import org.snowwind.gateway.backend.SharedLimits.Wish;
 import org.snowwind.gateway.backend.SharedLimits.Word;
@@ -44,19 +44,19 @@
 	public static List<Word> words(List<LimitNews> messages, long nowMillis) {
 		return messages.stream()
 			.map((message) -> new Word(new BackendRun(message.getServer(), message.getBornMillis()),
-					new LimitWord(message.getPerSecond(), nowMillis - Math.max(0, message.getAgeMillis()))))
+					new LimitReport(message.getPerSecond(), nowMillis - Math.max(0, message.getAgeMillis()))))
 			.toList();
 	}
 
 	static LimitWish toMessage(Wish wish) {
-		RateWish rate = wish.wish();
+		RateDemand rate = wish.wish();
 		return new LimitWish(wish.run().id(), wish.run().bornMillis(), rate.limitPerSecond(), rate.wantedPerSecond(),
 				rate.heldPerSecond(), rate.waiting());
 	}
 
 	static Wish toWish(LimitWish message) {
 		return new Wish(new BackendRun(message.getServer(), message.getBornMillis()),
-				new RateWish(message.getLimitPerSecond(), message.getWantedPerSecond(), message.getHeldPerSecond(),
+				new RateDemand(message.getLimitPerSecond(), message.getWantedPerSecond(), message.getHeldPerSecond(),
 						message.getWaiting()));
 	}
 
--- a/gateway/src/main/java/org/snowwind/gateway/limit/LimitLedgers.java
+++ b/gateway/src/main/java/org/snowwind/gateway/limit/RateAllocators.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import java.util.function.Predicate;
 
-import org.snowwind.decide.limit.LimitLedger;
+import org.snowwind.decide.limit.RateAllocator;
 import org.snowwind.gateway.backend.SharedLimits.Grant;
 import org.snowwind.gateway.backend.SharedLimits.Wish;
 import org.snowwind.gateway.registry.BackendRun;
@@ -15,9 +15,9 @@
  * The granted shares of the rates of all servers that this process coordinates.
  * Thread-safe.
  */
-final class LimitLedgers {
+final class RateAllocators {
 
-	private final Map<BackendRun, LimitLedger> byRun = new HashMap<>();
+	private final Map<BackendRun, RateAllocator> byRun = new HashMap<>();
 
 	/**
 	 * Grants shares to a process.
@@ -33,7 +33,7 @@
 			long nowMillis) {
 		List<Grant> grants = new ArrayList<>();
 		for (Wish wish : wishes) {
-			LimitLedger ledger = this.byRun.computeIfAbsent(wish.run(), (run) -> new LimitLedger());
+			RateAllocator ledger = this.byRun.computeIfAbsent(wish.run(), (run) -> new RateAllocator());
 			grants.add(new Grant(wish.run(),
 					ledger.grant(process, wish.wish(), isCoordinator.test(wish.run().id()), leaseMillis, nowMillis)));
 		}
@@ -45,7 +45,7 @@
 	 * @param nowMillis the time, in milliseconds
 	 */
 	synchronized void removeUnused(long nowMillis) {
-		this.byRun.values().removeIf((ledger) -> ledger.forget(nowMillis));
+		this.byRun.values().removeIf((ledger) -> ledger.removeExpired(nowMillis));
 	}
 
 }
--- a/gateway/src/main/java/org/snowwind/gateway/limit/ServerCalls.java
+++ b/gateway/src/main/java/org/snowwind/gateway/limit/ServerCalls.java
@@ -89,7 +89,7 @@
 		this.callCounter.increment();
 		this.allowances.keySet().retainAll(limits().keySet());
 		if (limits().containsKey(server)) {
-			allowance(server).made(this.clock.nowMillis());
+			allowance(server).recordCall(this.clock.nowMillis());
 		}
 	}
 
@@ -113,7 +113,7 @@
 	public synchronized boolean allows(String server, int calls) {
 		Double limit = limits().get(server);
 		return !isBackingOff(server)
-				&& (limit == null || allowance(server).left(limit, this.clock.nowMillis()) >= calls);
+				&& (limit == null || allowance(server).remaining(limit, this.clock.nowMillis()) >= calls);
 	}
 
 	private boolean isBackingOff(String server) {
--- a/gateway/src/main/java/org/snowwind/gateway/request/RetryBudgets.java
+++ b/gateway/src/main/java/org/snowwind/gateway/request/RetryBudgets.java
@@ -43,11 +43,11 @@
 	}
 
 	void recordRequest(String service) {
-		budgetOf(service).request(this.clock.nowMillis());
+		budgetOf(service).recordRequest(this.clock.nowMillis());
 	}
 
 	void recordRetry(String service) {
-		budgetOf(service).retried(this.clock.nowMillis());
+		budgetOf(service).recordRetry(this.clock.nowMillis());
 	}
 
 	/**
--- a/gateway/src/test/java/org/snowwind/gateway/backend/AdmissionTests.java
+++ b/gateway/src/test/java/org/snowwind/gateway/backend/AdmissionTests.java
@@ -7,8 +7,8 @@
 
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import org.snowwind.decide.limit.LimitWord;
-import org.snowwind.decide.limit.NamedLimit;
+import org.snowwind.decide.limit.LimitReport;
+import org.snowwind.decide.limit.AnnouncedLimit;
 import org.snowwind.decide.limit.RateGrant;
 import org.snowwind.decide.notice.ReturnPace;
 import org.snowwind.decide.notice.ServerNotice;
@@ -94,7 +94,7 @@
 
 	private void setLimit(double perSecond) {
 		rank().limit()
-			.onResponseHead(new NamedLimit.Rate(perSecond), true, this.clock.nowMillis(), this.clock.nowMillis());
+			.onResponseHead(new AnnouncedLimit.Rate(perSecond), true, this.clock.nowMillis(), this.clock.nowMillis());
 	}
 
 	private void grant(double perSecond) {
@@ -154,10 +154,10 @@
 
 	@Test
 	void announcementsFromPeersAreAppliedAndForwarded() {
-		this.table.limits().heard(List.of(new SharedLimits.Word(BackendRun.of("r"), new LimitWord(3, 9_000))));
+		this.table.limits().heard(List.of(new SharedLimits.Word(BackendRun.of("r"), new LimitReport(3, 9_000))));
 		assertThat(this.table.limits().snapshot().standing()).isEqualTo(Map.of("r", 3.0));
 		assertThat(this.table.limits().snapshot().words())
-			.containsExactly(new SharedLimits.Word(BackendRun.of("r"), new LimitWord(3, 9_000)));
+			.containsExactly(new SharedLimits.Word(BackendRun.of("r"), new LimitReport(3, 9_000)));
 		assertThat(this.table.limits().snapshot().wishes()).singleElement()
 			.extracting((wish) -> wish.wish().limitPerSecond())
 			.isEqualTo(3.0);
@@ -185,7 +185,7 @@
 		Backend backend = this.table.find(id).orElseThrow();
 		long nowMillis = this.clock.nowMillis();
 		backend.sent(nowMillis);
-		backend.onResponseHead(new ServerNotice(NamedLimit.NONE, retryAfterMillis, false, ""),
+		backend.onResponseHead(new ServerNotice(AnnouncedLimit.NONE, retryAfterMillis, false, ""),
 				new BackendNotices.Source("test", false, nowMillis), ReturnPace.AT_ONCE, nowMillis);
 		backend.refused(nowMillis);
 	}
@@ -244,7 +244,7 @@
 	@Test
 	void serverThatAnnouncedItsDepartureIsNotChosenDespiteItsRegistryEntry() {
 		registerTwoServers();
-		this.table.onResponseHead(rank(), new ServerNotice(NamedLimit.NONE, 0, true, ""),
+		this.table.onResponseHead(rank(), new ServerNotice(AnnouncedLimit.NONE, 0, true, ""),
 				new BackendNotices.Source("test", true, 10_000));
 		this.table.use(new Registry(3, Map.of("r", plainServer("r"), "q", plainServer("q"))));
 		assertThat(decideAfter("q")).isEqualTo(new Admission.Verdict.Send(this.table.find("q").orElseThrow()));
--- a/gateway/src/test/java/org/snowwind/gateway/backend/BackendTableTests.java
+++ b/gateway/src/test/java/org/snowwind/gateway/backend/BackendTableTests.java
@@ -9,7 +9,7 @@
 import java.util.stream.Stream;
 
 import org.junit.jupiter.api.Test;
-import org.snowwind.decide.limit.NamedLimit;
+import org.snowwind.decide.limit.AnnouncedLimit;
 import org.snowwind.decide.notice.ServerNotice;
 import org.snowwind.gateway.registry.BackendEntry;
 import org.snowwind.gateway.registry.BackendRun;
@@ -241,7 +241,7 @@
 	}
 
 	private void announce(long retryAfterMillis, boolean leaving) {
-		this.table.onResponseHead(server("a"), new ServerNotice(NamedLimit.NONE, retryAfterMillis, leaving, ""),
+		this.table.onResponseHead(server("a"), new ServerNotice(AnnouncedLimit.NONE, retryAfterMillis, leaving, ""),
 				new BackendNotices.Source("test", true, this.clock.nowMillis()));
 	}
 
--- a/gateway/src/test/java/org/snowwind/gateway/backend/ReturnModel.java
+++ b/gateway/src/test/java/org/snowwind/gateway/backend/ReturnModel.java
@@ -12,7 +12,7 @@
 import java.util.stream.Collectors;
 import java.util.stream.IntStream;
 
-import org.snowwind.decide.limit.NamedLimit;
+import org.snowwind.decide.limit.AnnouncedLimit;
 import org.snowwind.decide.notice.ReturnPace;
 import org.snowwind.decide.notice.ServerNotice;
 import org.snowwind.gateway.registry.BackendEntry;
@@ -148,7 +148,7 @@
 	private void reject(Work work, long ms) {
 		this.result.rejected(ms);
 		work.backend.refused(this.clock.nowMillis());
-		ServerNotice notice = new ServerNotice(NamedLimit.NONE, RETRY_AFTER_MILLIS, false, "");
+		ServerNotice notice = new ServerNotice(AnnouncedLimit.NONE, RETRY_AFTER_MILLIS, false, "");
 		BackendNotices.Source source = new BackendNotices.Source("model", false, work.sentMillis);
 		if (this.scenario.paced()) {
 			this.tables.get(work.call.gateway).onResponseHead(work.backend, notice, source);
--- a/gateway/src/test/java/org/snowwind/gateway/expert/FakeRankProtocol.java
+++ b/gateway/src/test/java/org/snowwind/gateway/expert/FakeRankProtocol.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import org.snowwind.decide.limit.NamedLimit;
+import org.snowwind.decide.limit.AnnouncedLimit;
 import org.snowwind.decide.notice.ServerNotice;
 import org.snowwind.model.Json;
 
@@ -85,7 +85,7 @@
 	@Override
 	public ServerNotice notice(int status, Map<String, String> headers) {
 		long retryAfterMillis = Long.parseLong(headers.getOrDefault("t-retry-after", "0"));
-		return new ServerNotice(NamedLimit.NONE, retryAfterMillis, headers.containsKey("t-leaving"), "");
+		return new ServerNotice(AnnouncedLimit.NONE, retryAfterMillis, headers.containsKey("t-leaving"), "");
 	}
 
 }
--- a/gateway/src/test/java/org/snowwind/gateway/request/TestDialect.java
+++ b/gateway/src/test/java/org/snowwind/gateway/request/TestDialect.java
@@ -3,7 +3,7 @@
 import java.util.HashMap;
 import java.util.Map;
 
-import org.snowwind.decide.limit.NamedLimit;
+import org.snowwind.decide.limit.AnnouncedLimit;
 import org.snowwind.decide.notice.ServerNotice;
 
 /**
@@ -43,7 +43,7 @@
 	}
 
 	private static ServerNotice readNotice(Map<String, String> headers) {
-		return new ServerNotice(NamedLimit.read(headers.get("t-limit")),
+		return new ServerNotice(AnnouncedLimit.parse(headers.get("t-limit")),
 				Long.parseLong(headers.getOrDefault("t-retry-after", "0")), headers.containsKey("t-leaving"), "");
 	}
 
