--- a/agent/src/main/java/org/snowwind/agent/AgentDaemon.java
+++ b/agent/src/main/java/org/snowwind/agent/AgentDaemon.java
@@ -162,14 +162,14 @@
 			return 0;
 		}, 0);
 		long drainedMillis = this.clock.nowMillis();
-		waitUntil(() -> schedule.known(this.clock.nowMillis()) || entriesKnow(drainedMillis));
+		waitUntil(() -> schedule.knownToSenders(this.clock.nowMillis()) || entriesKnow(drainedMillis));
 		this.server.stopListening();
 		this.server.closeIdleConnections();
-		waitUntil(() -> schedule.over(this.clock.nowMillis()) || running() == 0);
+		waitUntil(() -> schedule.ended(this.clock.nowMillis()) || running() == 0);
 		this.loop.run(this.state::cutOff);
 		this.server.closeIdleConnections();
 		StopSchedule closing = StopSchedule.of(this.clock.nowMillis(), 0, CLOSING_MILLIS, 0);
-		waitUntil(() -> closing.over(this.clock.nowMillis()) || this.server.connections() == 0);
+		waitUntil(() -> closing.ended(this.clock.nowMillis()) || this.server.connections() == 0);
 		close();
 		EventLog.log(Event.AGENT_STOPPED, "agent", this.settings.name());
 	}
--- a/agent/src/main/java/org/snowwind/agent/admission/BackendLane.java
+++ b/agent/src/main/java/org/snowwind/agent/admission/BackendLane.java
@@ -223,7 +223,7 @@
 	}
 
 	void neverReachedBackend(Work work) {
-		this.ledger.neverReachedBackend(work.id());
+		this.ledger.recordNeverReachedBackend(work.id());
 	}
 
 	void answered(RunningWork work) {
--- a/agent/src/main/java/org/snowwind/agent/rank/HttpRankGroup.java
+++ b/agent/src/main/java/org/snowwind/agent/rank/HttpRankGroup.java
@@ -34,7 +34,7 @@
 	}
 
 	@Override
-	public void order(int rank, RankOrder order, Consumer<RankState> whenAnswered) {
+	public void sendOrder(int rank, RankOrder order, Consumer<RankState> whenAnswered) {
 		UpstreamRequest request = new UpstreamRequest("POST", this.baseUrl + "/v1/ranks/" + rank,
 				Map.of("Content-Type", "application/json"), encode(OrderMessage.of(order)));
 		this.client.send(request, new WholeAnswer((bytes) -> decode(bytes, whenAnswered)));
--- a/app/src/main/java/org/snowwind/app/measure/balance/BalanceMeasurement.java
+++ b/app/src/main/java/org/snowwind/app/measure/balance/BalanceMeasurement.java
@@ -14,7 +14,7 @@
 import org.snowwind.balance.plan.ExpertPlacement;
 import org.snowwind.balance.plan.FullReplan;
 import org.snowwind.balance.plan.MapPlanner;
-import org.snowwind.balance.plan.NeverMove;
+import org.snowwind.balance.plan.StaticPlanner;
 import org.snowwind.balance.plan.ThresholdReplan;
 
 /**
@@ -75,11 +75,11 @@
 
 	private static void compare(DemandTrace trace, String user, BalanceCost cost, long seed, List<Figure> figures) {
 		double[][] first = trace.demandAt(0);
-		ExpertPlacement start = ExpertPlacement.byTurns(first.length, first[0].length, RANKS,
+		ExpertPlacement start = ExpertPlacement.roundRobin(first.length, first[0].length, RANKS,
 				Math.max(SLOTS, first[0].length / RANKS + 1));
 		TraceRun ours = new TraceRun(trace, new CostAwarePlanner(cost), start, cost, seed);
 		Map<String, MapPlanner> baselines = new LinkedHashMap<>();
-		baselines.put("never", new NeverMove());
+		baselines.put("never", new StaticPlanner());
 		baselines.put("full replan", new FullReplan());
 		baselines.put("threshold", new ThresholdReplan(THRESHOLD));
 		String prefix = trace.name() + ", " + user + ": ";
--- a/app/src/main/java/org/snowwind/app/measure/balance/PlanMeasurement.java
+++ b/app/src/main/java/org/snowwind/app/measure/balance/PlanMeasurement.java
@@ -55,7 +55,7 @@
 	}
 
 	private static double millis(MapPlanner planner, int ranks, int experts, int layers, long seed, int repeats) {
-		ExpertPlacement start = ExpertPlacement.byTurns(layers, experts, ranks, SLOTS);
+		ExpertPlacement start = ExpertPlacement.roundRobin(layers, experts, ranks, SLOTS);
 		TraceShape shape = new TraceShape(layers, experts, 0.8, 0.1);
 		double[][] demand = new SyntheticTrace("plan", shape, 1, seed, (time) -> 0).demandAt(0);
 		List<Double> times = new ArrayList<>();
--- a/balance/src/main/java/org/snowwind/balance/handover/RankGroup.java
+++ b/balance/src/main/java/org/snowwind/balance/handover/RankGroup.java
@@ -15,6 +15,6 @@
 	 * @param order the order
 	 * @param whenAnswered receives the state of the rank if an answer arrives
 	 */
-	void order(int rank, RankOrder order, Consumer<RankState> whenAnswered);
+	void sendOrder(int rank, RankOrder order, Consumer<RankState> whenAnswered);
 
 }
--- a/balance/src/main/java/org/snowwind/balance/handover/RankSwitch.java
+++ b/balance/src/main/java/org/snowwind/balance/handover/RankSwitch.java
@@ -46,7 +46,7 @@
 	 * @param order the order
 	 * @return the state afterwards
 	 */
-	public RankState on(RankOrder order) {
+	public RankState handle(RankOrder order) {
 		if (order.ballot() >= this.ballot) {
 			this.ballot = order.ballot();
 			execute(order);
--- a/balance/src/main/java/org/snowwind/balance/handover/SwitchDriver.java
+++ b/balance/src/main/java/org/snowwind/balance/handover/SwitchDriver.java
@@ -45,14 +45,14 @@
 	 */
 	public boolean tick() {
 		if (this.clock.nowMillis() - this.attemptStartMillis > this.attemptMillis) {
-			this.owner.tryAgain();
+			this.owner.beginNewAttempt();
 			this.attemptStartMillis = this.clock.nowMillis();
 		}
 		boolean done = true;
 		for (int rank = 0; rank < this.ranks; rank++) {
 			int target = rank;
 			done &= this.owner.orderFor(rank).isEmpty();
-			this.owner.orderFor(rank).ifPresent((order) -> this.group.order(target, order, this.owner::on));
+			this.owner.orderFor(rank).ifPresent((order) -> this.group.sendOrder(target, order, this.owner::handle));
 		}
 		return done;
 	}
--- a/balance/src/main/java/org/snowwind/balance/handover/SwitchOwner.java
+++ b/balance/src/main/java/org/snowwind/balance/handover/SwitchOwner.java
@@ -75,7 +75,7 @@
 	 * Handles the answer of a rank.
 	 * @param state the state that the rank reports
 	 */
-	public void on(RankState state) {
+	public void handle(RankState state) {
 		if (state.ballot() != this.ballot) {
 			return;
 		}
@@ -91,7 +91,7 @@
 	 * Begins a new attempt after the last one has taken too long. A switch that is being
 	 * confirmed is not begun again.
 	 */
-	public void tryAgain() {
+	public void beginNewAttempt() {
 		if (this.phase != Phase.CONFIRM) {
 			enterUnderNewBallot(Phase.ASK);
 		}
--- a/balance/src/main/java/org/snowwind/balance/plan/BalanceCost.java
+++ b/balance/src/main/java/org/snowwind/balance/plan/BalanceCost.java
@@ -15,7 +15,7 @@
 	 * @param skewReduction the reduction of the skew
 	 * @return the gain over the horizon
 	 */
-	public double gainOf(double skewReduction) {
+	public double gainOfSkewReduction(double skewReduction) {
 		return this.skewWeight * skewReduction * this.horizonSeconds;
 	}
 
@@ -24,7 +24,7 @@
 	 * @param moves how many experts are moved
 	 * @return the cost
 	 */
-	public double costOf(int moves) {
+	public double costOfMoves(int moves) {
 		return this.moveWeight * moves * this.expertGigabytes;
 	}
 
--- a/balance/src/main/java/org/snowwind/balance/plan/ExpertPlacement.java
+++ b/balance/src/main/java/org/snowwind/balance/plan/ExpertPlacement.java
@@ -29,7 +29,7 @@
 	 * @param slotsPerRank the number of experts of one layer that fit on a rank
 	 * @return the placement, every slot in use
 	 */
-	public static ExpertPlacement byTurns(int layers, int experts, int ranks, int slotsPerRank) {
+	public static ExpertPlacement roundRobin(int layers, int experts, int ranks, int slotsPerRank) {
 		List<List<Integer>> layer = new ArrayList<>();
 		for (int expert = 0; expert < experts; expert++) {
 			layer.add(new ArrayList<>());
--- a/balance/src/test/java/org/snowwind/balance/handover/SwitchTests.java
+++ b/balance/src/test/java/org/snowwind/balance/handover/SwitchTests.java
@@ -24,19 +24,19 @@
 	@Test
 	void rankStallsAtTheBoundStepUntilTheBindIsConfirmed() {
 		RankSwitch rank = new RankSwitch(0, 1);
-		rank.on(new RankOrder.Bind(5, 2, 1));
+		rank.handle(new RankOrder.Bind(5, 2, 1));
 		assertThat(rank.runStep()).isEqualTo(1);
 		assertThat(rank.generationOfNextStep()).isEqualTo(RankSwitch.STALL);
-		rank.on(new RankOrder.Confirm(5, 5));
+		rank.handle(new RankOrder.Confirm(5, 5));
 		assertThat(rank.runStep()).isEqualTo(2);
 	}
 
 	@Test
 	void rankRejectsLowerBallots() {
 		RankSwitch rank = new RankSwitch(0, 1);
-		rank.on(new RankOrder.Bind(5, 2, 3));
-		rank.on(new RankOrder.Ask(6));
-		rank.on(new RankOrder.Confirm(5, 5));
+		rank.handle(new RankOrder.Bind(5, 2, 3));
+		rank.handle(new RankOrder.Ask(6));
+		rank.handle(new RankOrder.Confirm(5, 5));
 		assertThat(rank.state().confirmed()).isFalse();
 	}
 
@@ -45,16 +45,16 @@
 		RankSwitch rank = new RankSwitch(0, 1);
 		rank.runStep();
 		rank.runStep();
-		rank.on(new RankOrder.Bind(5, 2, 2));
+		rank.handle(new RankOrder.Bind(5, 2, 2));
 		assertThat(rank.state().boundBallot()).isZero();
 	}
 
 	@Test
 	void confirmedBindIsNeverAborted() {
 		RankSwitch rank = new RankSwitch(0, 1);
-		rank.on(new RankOrder.Bind(5, 2, 3));
-		rank.on(new RankOrder.Confirm(5, 5));
-		rank.on(new RankOrder.Abort(9));
+		rank.handle(new RankOrder.Bind(5, 2, 3));
+		rank.handle(new RankOrder.Confirm(5, 5));
+		rank.handle(new RankOrder.Abort(9));
 		assertThat(rank.state().confirmed()).isTrue();
 	}
 
@@ -108,7 +108,7 @@
 				this.owners.add(new SwitchOwner(RANKS, this.owners.size() + 1, 2, 1 + this.random.nextInt(3)));
 			}
 			else if (draw == 1 && this.random.nextInt(6) == 0) {
-				randomOf(this.owners).tryAgain();
+				randomOf(this.owners).beginNewAttempt();
 			}
 			else {
 				step(this.random.nextInt(RANKS));
@@ -121,8 +121,8 @@
 		}
 
 		private void execute(SwitchOwner owner, int rank, RankOrder order) {
-			RankState answer = this.ranks.get(rank).on(order);
-			this.inFlight.add(() -> owner.on(answer));
+			RankState answer = this.ranks.get(rank).handle(order);
+			this.inFlight.add(() -> owner.handle(answer));
 		}
 
 		private void deliver() {
@@ -153,10 +153,10 @@
 			for (int round = 0; round < 400; round++) {
 				for (int rank = 0; rank < RANKS; rank++) {
 					int target = rank;
-					last.orderFor(rank).ifPresent((order) -> last.on(this.ranks.get(target).on(order)));
+					last.orderFor(rank).ifPresent((order) -> last.handle(this.ranks.get(target).handle(order)));
 				}
 				if (round % 20 == 19) {
-					last.tryAgain();
+					last.beginNewAttempt();
 				}
 				for (int rank = 0; rank < RANKS; rank++) {
 					step(rank);
--- a/balance/src/test/java/org/snowwind/balance/plan/IncrementalPlannerTests.java
+++ b/balance/src/test/java/org/snowwind/balance/plan/IncrementalPlannerTests.java
@@ -23,7 +23,7 @@
 
 	private static final int LAYERS = 3;
 
-	private static final ExpertPlacement START = ExpertPlacement.byTurns(LAYERS, EXPERTS, RANKS, SLOTS);
+	private static final ExpertPlacement START = ExpertPlacement.roundRobin(LAYERS, EXPERTS, RANKS, SLOTS);
 
 	private static double[][] demand(Random random) {
 		double[][] demand = new double[LAYERS][EXPERTS];
--- a/balance/src/test/java/org/snowwind/balance/plan/PlannerTests.java
+++ b/balance/src/test/java/org/snowwind/balance/plan/PlannerTests.java
@@ -20,7 +20,7 @@
 
 	private static final int LAYERS = 3;
 
-	private static final ExpertPlacement START = ExpertPlacement.byTurns(LAYERS, EXPERTS, RANKS, SLOTS);
+	private static final ExpertPlacement START = ExpertPlacement.roundRobin(LAYERS, EXPERTS, RANKS, SLOTS);
 
 	private static BalanceCost cost(double moveWeight) {
 		return new BalanceCost(1, moveWeight, 0.05, 600);
@@ -38,7 +38,7 @@
 	}
 
 	private static double total(BalanceCost cost, ExpertPlacement placement, double[][] demand) {
-		return cost.gainOf(placement.skew(demand)) + cost.costOf(placement.movesFrom(START));
+		return cost.gainOfSkewReduction(placement.skew(demand)) + cost.costOfMoves(placement.movesFrom(START));
 	}
 
 	@Property(seed = "20261202")
--- a/decide/src/main/java/org/snowwind/decide/blame/Blame.java
+++ b/decide/src/main/java/org/snowwind/decide/blame/Blame.java
@@ -17,7 +17,7 @@
  * therefore blamed in descending order of their number of ends, and an end that a blamed
  * request explains no longer counts against other requests. If another request has at
  * least as many ends and shares more than half of them, a request is blamed only once it
- * has more ends than the other, or once both have {@link #SHARED_ENDS}.
+ * has more ends than the other, or once both have {@link #MIN_TIED_ENDS}.
  *
  * <p>
  * The rules are made for one or a few callers that repeatedly send a request which ends
@@ -32,21 +32,21 @@
 	 * retried on the same server as the cause would be blamed with it. Each additional
 	 * end costs all callers another server for seconds.
 	 */
-	public static final int ENDS = 3;
+	public static final int MIN_ENDS = 3;
 
 	/**
 	 * The number of ends from which on requests that cannot be told apart are all blamed.
 	 * A cause that continues to end servers costs all callers more than an innocent
 	 * request that is rejected.
 	 */
-	public static final int SHARED_ENDS = 5;
+	public static final int MIN_TIED_ENDS = 5;
 
 	/**
 	 * The number of ends from which on an answer clears a request of its ends. A single
 	 * end blames no request, and nearly all requests that were at an end are answered
 	 * soon afterwards, so there is no need to clear them earlier.
 	 */
-	public static final int CLEARED_ENDS = 2;
+	public static final int MIN_CLEARABLE_ENDS = 2;
 
 	private final Map<String, Set<String>> unexplained = new HashMap<>();
 
@@ -71,7 +71,7 @@
 	 * @param cleared the ends that counted against requests until these were answered
 	 * @return the digests of the requests to blame
 	 */
-	public static Set<String> of(Collection<ServerEnd> ends, Collection<ServerEnd> cleared) {
+	public static Set<String> blamedRequests(Collection<ServerEnd> ends, Collection<ServerEnd> cleared) {
 		Blame blame = new Blame(ends, cleared);
 		Set<String> next = blame.next();
 		while (!next.isEmpty()) {
@@ -85,10 +85,10 @@
 	private Set<String> next() {
 		int maxEnds = this.unexplained.values().stream().mapToInt(Set::size).max().orElse(0);
 		Set<String> next = new HashSet<>();
-		if (maxEnds >= ENDS) {
+		if (maxEnds >= MIN_ENDS) {
 			this.unexplained.forEach((request, servers) -> {
-				if (servers.size() == maxEnds && maxEnds >= ENDS + extraEndsForNoise(servers)
-						&& (maxEnds >= SHARED_ENDS || !isContested(request, servers))) {
+				if (servers.size() == maxEnds && maxEnds >= MIN_ENDS + extraEndsForNoise(servers)
+						&& (maxEnds >= MIN_TIED_ENDS || !isContested(request, servers))) {
 					next.add(request);
 				}
 			});
--- a/decide/src/main/java/org/snowwind/decide/burn/Tally.java
+++ b/decide/src/main/java/org/snowwind/decide/burn/Tally.java
@@ -34,7 +34,7 @@
 	 * @param targetShare the share of requests that should be good
 	 * @return 1 if the budget lasts exactly for its window
 	 */
-	public double burn(double targetShare) {
+	public double burnRate(double targetShare) {
 		return badShare() / (1 - targetShare);
 	}
 
--- a/decide/src/main/java/org/snowwind/decide/choice/Candidates.java
+++ b/decide/src/main/java/org/snowwind/decide/choice/CandidateFilter.java
@@ -6,9 +6,9 @@
 /**
  * Filters the servers from which one is chosen.
  */
-public final class Candidates {
+public final class CandidateFilter {
 
-	private Candidates() {
+	private CandidateFilter() {
 	}
 
 	/**
@@ -37,14 +37,14 @@
 	 * centres
 	 * @return the servers to choose from
 	 */
-	public static List<ServerView> nearUnlessFull(List<ServerView> servers, double spillFullness) {
+	public static List<ServerView> localUnlessFull(List<ServerView> servers, double spillFullness) {
 		List<ServerView> local = servers.stream().filter(ServerView::sameDataCentre).toList();
-		boolean localCapacity = local.stream().anyMatch((server) -> server.fullness() <= spillFullness);
+		boolean localCapacity = local.stream().anyMatch((server) -> server.loadRatio() <= spillFullness);
 		if (localCapacity) {
 			return local;
 		}
 		List<ServerView> withCapacity = servers.stream()
-			.filter((server) -> server.fullness() <= spillFullness)
+			.filter((server) -> server.loadRatio() <= spillFullness)
 			.toList();
 		if (!withCapacity.isEmpty()) {
 			return withCapacity;
--- a/decide/src/main/java/org/snowwind/decide/choice/Breaker.java
+++ b/decide/src/main/java/org/snowwind/decide/choice/CircuitBreaker.java
@@ -4,7 +4,7 @@
  * Circuit breaker that stops sending work to a failing server and, once a probe has
  * succeeded, increases its share slowly.
  */
-public final class Breaker {
+public final class CircuitBreaker {
 
 	private static final int MAX_DOUBLINGS = 4;
 
@@ -24,7 +24,7 @@
 	 * Creates a closed breaker.
 	 * @param settings when the breaker opens and how it closes
 	 */
-	public Breaker(BreakerSettings settings) {
+	public CircuitBreaker(BreakerSettings settings) {
 		this.settings = settings;
 	}
 
@@ -44,14 +44,14 @@
 	 * Records that work is sent to the server. If the breaker is open, this is the only
 	 * probe until its outcome is recorded.
 	 */
-	public void sent() {
+	public void recordSent() {
 		this.probing = this.consecutiveFailures >= this.settings.failuresToOpen();
 	}
 
 	/**
 	 * Records that work was withdrawn, so that its outcome says nothing about the server.
 	 */
-	public void withdrawn() {
+	public void recordWithdrawn() {
 		this.probing = false;
 	}
 
@@ -59,7 +59,7 @@
 	 * Records a success.
 	 * @param nowMillis the time, in milliseconds
 	 */
-	public void succeeded(long nowMillis) {
+	public void recordSuccess(long nowMillis) {
 		if (this.consecutiveFailures >= this.settings.failuresToOpen()) {
 			this.closedMillis = nowMillis;
 		}
@@ -72,7 +72,7 @@
 	 * Records a failure that is attributed to the server.
 	 * @param nowMillis the time, in milliseconds
 	 */
-	public void failed(long nowMillis) {
+	public void recordFailure(long nowMillis) {
 		boolean probeFailed = this.probing;
 		this.probing = false;
 		this.consecutiveFailures++;
@@ -89,7 +89,7 @@
 	 * @param nowMillis the time, in milliseconds
 	 * @return a number from {@link BreakerSettings#lowestStartFactor()} to 1
 	 */
-	public double startFactor(long nowMillis) {
+	public double slowStartFactor(long nowMillis) {
 		if (this.closedMillis == Long.MIN_VALUE) {
 			return 1;
 		}
--- a/decide/src/main/java/org/snowwind/decide/choice/PrefixAffinity.java
+++ b/decide/src/main/java/org/snowwind/decide/choice/PrefixAffinity.java
@@ -31,14 +31,14 @@
 
 	@Override
 	public Optional<ServerView> choose(List<ServerView> candidates, long affinityHash) {
-		double meanLoadRatio = candidates.stream().mapToDouble(ServerView::fullness).average().orElse(0);
+		double meanLoadRatio = candidates.stream().mapToDouble(ServerView::loadRatio).average().orElse(0);
 		ServerView best = null;
 		long bestScore = 0;
 		for (ServerView candidate : candidates) {
-			if (candidate.fullness() > meanLoadRatio * this.loadBound) {
+			if (candidate.loadRatio() > meanLoadRatio * this.loadBound) {
 				continue;
 			}
-			long score = Rendezvous.score(candidate.name(), affinityHash);
+			long score = RendezvousHashing.score(candidate.name(), affinityHash);
 			if (best == null || Long.compareUnsigned(score, bestScore) > 0) {
 				best = candidate;
 				bestScore = score;
--- a/decide/src/main/java/org/snowwind/decide/choice/Rendezvous.java
+++ b/decide/src/main/java/org/snowwind/decide/choice/RendezvousHashing.java
@@ -11,9 +11,9 @@
  * Ranks items by rendezvous hashing. All processes that know the same items rank them in
  * the same order, and adding or removing an item does not change the order of the others.
  */
-public final class Rendezvous {
+public final class RendezvousHashing {
 
-	private Rendezvous() {
+	private RendezvousHashing() {
 	}
 
 	/**
@@ -25,7 +25,7 @@
 	 * @param count the maximum number of items
 	 * @return at most {@code count} items, best first
 	 */
-	public static <T> List<T> first(List<T> items, Function<T, String> nameOf, String seed, int count) {
+	public static <T> List<T> highestRanked(List<T> items, Function<T, String> nameOf, String seed, int count) {
 		long seedHash = hash(seed);
 		Comparator<T> byScore = (left, right) -> Long.compareUnsigned(score(nameOf.apply(right), seedHash),
 				score(nameOf.apply(left), seedHash));
--- a/decide/src/main/java/org/snowwind/decide/choice/ServerView.java
+++ b/decide/src/main/java/org/snowwind/decide/choice/ServerView.java
@@ -9,19 +9,19 @@
  * @param reportedLoad running and queued requests according to its last report,
  * discounted by the age of the report
  * @param concurrencyLimit how many requests the server runs at once
- * @param startFactor a fraction below 1 during slow start, otherwise 1
+ * @param slowStartFactor a fraction below 1 during slow start, otherwise 1
  */
 public record ServerView(String name, boolean sameDataCentre, int ownInFlight, double reportedLoad,
-		int concurrencyLimit, double startFactor) {
+		int concurrencyLimit, double slowStartFactor) {
 
 	/**
 	 * Returns the load of the server relative to its capacity, for comparison with
 	 * others. The request that is to be sent is counted.
 	 * @return 1 if the server would then have as many requests as it runs at once
 	 */
-	public double fullness() {
+	public double loadRatio() {
 		double load = Math.max(this.ownInFlight, this.reportedLoad) + 1;
-		return load / Math.max(1, this.concurrencyLimit) / Math.max(0.01, this.startFactor);
+		return load / Math.max(1, this.concurrencyLimit) / Math.max(0.01, this.slowStartFactor);
 	}
 
 }
--- a/decide/src/main/java/org/snowwind/decide/choice/TwoChoices.java
+++ b/decide/src/main/java/org/snowwind/decide/choice/TwoChoices.java
@@ -26,7 +26,7 @@
 		}
 		ServerView first = candidates.get(this.random.nextInt(candidates.size()));
 		ServerView second = candidates.get(this.random.nextInt(candidates.size()));
-		return Optional.of((second.fullness() < first.fullness()) ? second : first);
+		return Optional.of((second.loadRatio() < first.loadRatio()) ? second : first);
 	}
 
 }
--- a/decide/src/main/java/org/snowwind/decide/ledger/Ledger.java
+++ b/decide/src/main/java/org/snowwind/decide/ledger/Ledger.java
@@ -82,7 +82,7 @@
 	 * counts as revoked from now on.
 	 * @param id the attempt
 	 */
-	public void neverReachedBackend(AttemptId id) {
+	public void recordNeverReachedBackend(AttemptId id) {
 		EntryRecord entry = this.entries.get(id.entryIncarnation());
 		if (entry != null && entry.begun.remove(id.sequence())) {
 			entry.revoked.add(id.sequence());
--- a/decide/src/main/java/org/snowwind/decide/notice/ReturnPace.java
+++ b/decide/src/main/java/org/snowwind/decide/notice/RampUp.java
@@ -14,10 +14,10 @@
  * process, in milliseconds
  * @param offsetMillis when this process starts to send, in milliseconds after the backoff
  */
-public record ReturnPace(long spreadMillis, long offsetMillis) {
+public record RampUp(long spreadMillis, long offsetMillis) {
 
 	/** Sends requests without restriction as soon as the backoff is over. */
-	public static final ReturnPace AT_ONCE = new ReturnPace(0, 0);
+	public static final RampUp UNRESTRICTED = new RampUp(0, 0);
 
 	/** The share of its throughput that a server gets during the ramp-up. */
 	private static final double RAMP_UP_SHARE = 0.5;
@@ -41,7 +41,7 @@
 	 * @param randomFraction a random number from 0 to 1
 	 * @return the ramp-up
 	 */
-	public static ReturnPace of(int processes, double responseMillis, int slots, long backoffMillis,
+	public static RampUp of(int processes, double responseMillis, int slots, long backoffMillis,
 			double randomFraction) {
 		double perRequestMillis = ((responseMillis > 0) ? responseMillis : DEFAULT_RESPONSE_MILLIS)
 				/ Math.max(1, slots);
@@ -49,7 +49,7 @@
 		double spread = Math.min(maxSpreadMillis, processes * perRequestMillis / RAMP_UP_SHARE);
 		double startRange = Math.min(maxSpreadMillis,
 				Math.max(0, processes - slots) * perRequestMillis / RAMP_UP_SHARE);
-		return new ReturnPace((long) spread, (long) (startRange * randomFraction));
+		return new RampUp((long) spread, (long) (startRange * randomFraction));
 	}
 
 	/**
--- a/decide/src/main/java/org/snowwind/decide/notice/ServerBackoff.java
+++ b/decide/src/main/java/org/snowwind/decide/notice/ServerBackoff.java
@@ -16,7 +16,7 @@
 
 	private long untilMillis = NEVER;
 
-	private ReturnPace rampUp = ReturnPace.AT_ONCE;
+	private RampUp rampUp = RampUp.UNRESTRICTED;
 
 	private long lastSentMillis = NEVER;
 
@@ -27,7 +27,7 @@
 	 * @param nowMillis the time, in milliseconds
 	 * @return true if the backoff now ends later than before
 	 */
-	public boolean retryAfter(long retryAfterMillis, ReturnPace nextRampUp, long nowMillis) {
+	public boolean recordRetryAfter(long retryAfterMillis, RampUp nextRampUp, long nowMillis) {
 		long endMillis = nowMillis + retryAfterMillis;
 		if (endMillis <= this.untilMillis || retryAfterMillis <= 0) {
 			return false;
@@ -43,7 +43,7 @@
 	 * Records a request that is sent to the server.
 	 * @param nowMillis the time, in milliseconds
 	 */
-	public void sent(long nowMillis) {
+	public void recordSent(long nowMillis) {
 		this.lastSentMillis = nowMillis;
 	}
 
--- a/decide/src/main/java/org/snowwind/decide/outcome/AnsweredRequestIsFinished.java
+++ b/decide/src/main/java/org/snowwind/decide/outcome/AnsweredRequestIsFinished.java
@@ -11,7 +11,7 @@
 public final class AnsweredRequestIsFinished implements NextStepRule {
 
 	@Override
-	public NextStep decide(Situation context) {
+	public NextStep decide(RetryContext context) {
 		if (context.end() != AttemptEnd.ANSWERED) {
 			return NextStep.NOT_APPLICABLE;
 		}
--- a/decide/src/main/java/org/snowwind/decide/outcome/AttemptEnd.java
+++ b/decide/src/main/java/org/snowwind/decide/outcome/AttemptEnd.java
@@ -44,7 +44,7 @@
 	 * Returns whether the server may have run the work without answering completely.
 	 * @return true if it may
 	 */
-	public boolean broke() {
+	public boolean mayHaveRunUnanswered() {
 		return !this.provesNotRun && this != ANSWERED;
 	}
 
--- a/decide/src/main/java/org/snowwind/decide/outcome/BegunWorkIsRepeatedOnlyIfRepeatable.java
+++ b/decide/src/main/java/org/snowwind/decide/outcome/BegunWorkIsRepeatedOnlyIfRepeatable.java
@@ -12,7 +12,7 @@
 public final class BegunWorkIsRepeatedOnlyIfRepeatable implements NextStepRule {
 
 	@Override
-	public NextStep decide(Situation context) {
+	public NextStep decide(RetryContext context) {
 		if (context.end().provesNotRun() || context.repeatable()) {
 			return NextStep.NOT_APPLICABLE;
 		}
--- a/decide/src/main/java/org/snowwind/decide/outcome/DeliveredBytesAreOnlyContinued.java
+++ b/decide/src/main/java/org/snowwind/decide/outcome/DeliveredBytesAreOnlyContinued.java
@@ -13,7 +13,7 @@
 public final class DeliveredBytesAreOnlyContinued implements NextStepRule {
 
 	@Override
-	public NextStep decide(Situation context) {
+	public NextStep decide(RetryContext context) {
 		if (context.bytesDelivered() == 0) {
 			return NextStep.NOT_APPLICABLE;
 		}
--- a/decide/src/main/java/org/snowwind/decide/outcome/LostAttemptIsRevokedFirst.java
+++ b/decide/src/main/java/org/snowwind/decide/outcome/LostAttemptIsRevokedFirst.java
@@ -11,7 +11,7 @@
 public final class LostAttemptIsRevokedFirst implements NextStepRule {
 
 	@Override
-	public NextStep decide(Situation context) {
+	public NextStep decide(RetryContext context) {
 		if (context.end() != AttemptEnd.SENT_THEN_LOST) {
 			return NextStep.NOT_APPLICABLE;
 		}
--- a/decide/src/main/java/org/snowwind/decide/outcome/NextStep.java
+++ b/decide/src/main/java/org/snowwind/decide/outcome/NextStep.java
@@ -34,13 +34,13 @@
 	 * Calls the method of the visitor that matches this step.
 	 * @param visitor handles the step
 	 */
-	void perform(Cases visitor);
+	void accept(Visitor visitor);
 
 	/**
 	 * Visitor with one method for each step, so that a new step breaks compilation until
 	 * every visitor handles it.
 	 */
-	interface Cases {
+	interface Visitor {
 
 		/** Sends another attempt that starts the work from the beginning. */
 		void send();
@@ -66,7 +66,7 @@
 	record Send() implements NextStep {
 
 		@Override
-		public void perform(Cases visitor) {
+		public void accept(Visitor visitor) {
 			visitor.send();
 		}
 
@@ -78,7 +78,7 @@
 	record Resume() implements NextStep {
 
 		@Override
-		public void perform(Cases visitor) {
+		public void accept(Visitor visitor) {
 			visitor.resume();
 		}
 
@@ -90,7 +90,7 @@
 	record Revoke() implements NextStep {
 
 		@Override
-		public void perform(Cases visitor) {
+		public void accept(Visitor visitor) {
 			visitor.revoke();
 		}
 
@@ -105,7 +105,7 @@
 	record Finish(Disclosure disclosure, ProblemKind problem) implements NextStep {
 
 		@Override
-		public void perform(Cases visitor) {
+		public void accept(Visitor visitor) {
 			visitor.finish(this.disclosure, this.problem);
 		}
 
--- a/decide/src/main/java/org/snowwind/decide/outcome/NextStepRule.java
+++ b/decide/src/main/java/org/snowwind/decide/outcome/NextStepRule.java
@@ -11,6 +11,6 @@
 	 * @param context the state of the request after the attempt
 	 * @return the step, or {@link NextStep#NOT_APPLICABLE} if this rule does not apply
 	 */
-	NextStep decide(Situation context);
+	NextStep decide(RetryContext context);
 
 }
--- a/decide/src/main/java/org/snowwind/decide/outcome/NextStepRules.java
+++ b/decide/src/main/java/org/snowwind/decide/outcome/NextStepRules.java
@@ -20,11 +20,11 @@
 	 * @param context the state of the request after the attempt
 	 * @return the next step
 	 */
-	public static NextStep decide(Situation context) {
+	public static NextStep decide(RetryContext context) {
 		return decide(ALL, context);
 	}
 
-	static NextStep decide(List<NextStepRule> rules, Situation context) {
+	static NextStep decide(List<NextStepRule> rules, RetryContext context) {
 		for (NextStepRule rule : rules) {
 			NextStep step = rule.decide(context);
 			if (step != NextStep.NOT_APPLICABLE) {
--- a/decide/src/main/java/org/snowwind/decide/outcome/RemainingWorkIsRetried.java
+++ b/decide/src/main/java/org/snowwind/decide/outcome/RemainingWorkIsRetried.java
@@ -9,7 +9,7 @@
 public final class RemainingWorkIsRetried implements NextStepRule {
 
 	@Override
-	public NextStep decide(Situation context) {
+	public NextStep decide(RetryContext context) {
 		return NextStep.SEND;
 	}
 
--- a/decide/src/main/java/org/snowwind/decide/outcome/Situation.java
+++ b/decide/src/main/java/org/snowwind/decide/outcome/RetryContext.java
@@ -17,7 +17,7 @@
  * @param earlierAttemptMayHaveRun whether an earlier attempt may have run the work
  * @param rejection why the last attempt was rejected; {@code null} if it was not
  */
-public record Situation(AttemptEnd end, boolean repeatable, boolean resumable, long bytesDelivered, int attemptsUsed,
+public record RetryContext(AttemptEnd end, boolean repeatable, boolean resumable, long bytesDelivered, int attemptsUsed,
 		int maxAttempts, long remainingMillis, boolean retryBudgetLeft, boolean serverLeft,
 		boolean earlierAttemptMayHaveRun, ProblemKind rejection) {
 
--- a/decide/src/main/java/org/snowwind/decide/outcome/SpentBudgetEndsTheRequest.java
+++ b/decide/src/main/java/org/snowwind/decide/outcome/SpentBudgetEndsTheRequest.java
@@ -12,7 +12,7 @@
 public final class SpentBudgetEndsTheRequest implements NextStepRule {
 
 	@Override
-	public NextStep decide(Situation context) {
+	public NextStep decide(RetryContext context) {
 		if (context.anotherAttemptAffordable()) {
 			return NextStep.NOT_APPLICABLE;
 		}
--- a/decide/src/main/java/org/snowwind/decide/stop/StopSchedule.java
+++ b/decide/src/main/java/org/snowwind/decide/stop/StopSchedule.java
@@ -12,12 +12,12 @@
  * can still finish.
  *
  * @param beganMillis when the process was told to stop, by its own clock
- * @param knownMillis from when on balancers and other senders of requests know of the
+ * @param knownToSendersMillis from when on balancers and other senders of requests know of the
  * stop
- * @param lastAnswersMillis when the requests that are still open get their final answers
+ * @param finalAnswersMillis when the requests that are still open get their final answers
  * @param endMillis when the requests that are still open are cut off
  */
-public record StopSchedule(long beganMillis, long knownMillis, long lastAnswersMillis, long endMillis) {
+public record StopSchedule(long beganMillis, long knownToSendersMillis, long finalAnswersMillis, long endMillis) {
 
 	/**
 	 * Creates the schedule of a stop.
@@ -43,8 +43,8 @@
 	 * @param deadlineMillis the deadline of the request
 	 * @return false if the request must be rejected
 	 */
-	public boolean takes(long nowMillis, long deadlineMillis) {
-		return !known(nowMillis) || (!over(nowMillis) && deadlineMillis <= this.lastAnswersMillis);
+	public boolean accepts(long nowMillis, long deadlineMillis) {
+		return !knownToSenders(nowMillis) || (!ended(nowMillis) && deadlineMillis <= this.finalAnswersMillis);
 	}
 
 	/**
@@ -52,8 +52,8 @@
 	 * @param nowMillis the time now
 	 * @return true if they do
 	 */
-	public boolean known(long nowMillis) {
-		return nowMillis >= this.knownMillis;
+	public boolean knownToSenders(long nowMillis) {
+		return nowMillis >= this.knownToSendersMillis;
 	}
 
 	/**
@@ -61,7 +61,7 @@
 	 * @param nowMillis the time now
 	 * @return true if requests that are still running are cut off now
 	 */
-	public boolean over(long nowMillis) {
+	public boolean ended(long nowMillis) {
 		return nowMillis >= this.endMillis;
 	}
 
@@ -79,7 +79,7 @@
 	 * @param nowMillis the time now
 	 * @return milliseconds until the end, 0 if it has passed
 	 */
-	public long leftMillis(long nowMillis) {
+	public long remainingMillis(long nowMillis) {
 		return Math.max(0, this.endMillis - nowMillis);
 	}
 
--- a/decide/src/test/java/org/snowwind/decide/blame/BlameTests.java
+++ b/decide/src/test/java/org/snowwind/decide/blame/BlameTests.java
@@ -30,7 +30,7 @@
 	void twoEndsBlameNobody() {
 		ended("s1", "fatal", "a");
 		ended("s2", "fatal", "b");
-		assertThat(Blame.of(this.ends, List.of())).isEmpty();
+		assertThat(Blame.blamedRequests(this.ends, List.of())).isEmpty();
 	}
 
 	@Test
@@ -38,7 +38,7 @@
 		ended("s1", "fatal", "a");
 		ended("s2", "fatal", "b");
 		ended("s3", "fatal");
-		assertThat(Blame.of(this.ends, List.of())).containsExactly("fatal");
+		assertThat(Blame.blamedRequests(this.ends, List.of())).containsExactly("fatal");
 	}
 
 	@Test
@@ -46,7 +46,7 @@
 		ended("s1", "a");
 		ended("s1", "a");
 		ended("s2", "a");
-		assertThat(Blame.of(this.ends, List.of())).isEmpty();
+		assertThat(Blame.blamedRequests(this.ends, List.of())).isEmpty();
 	}
 
 	@Test
@@ -54,17 +54,17 @@
 		ended("s1", "fatal", "a");
 		ended("s2", "fatal", "a");
 		ended("s3", "fatal", "a");
-		assertThat(Blame.of(this.ends, List.of())).as("either may be the cause").isEmpty();
+		assertThat(Blame.blamedRequests(this.ends, List.of())).as("either may be the cause").isEmpty();
 		ended("s4", "fatal");
-		assertThat(Blame.of(this.ends, List.of())).containsExactly("fatal");
+		assertThat(Blame.blamedRequests(this.ends, List.of())).containsExactly("fatal");
 	}
 
 	@Test
 	void indistinguishableRequestsAreAllBlamedAfterManyEnds() {
-		for (int i = 0; i < Blame.SHARED_ENDS; i++) {
+		for (int i = 0; i < Blame.MIN_TIED_ENDS; i++) {
 			ended("s" + i, "fatal", "a");
 		}
-		assertThat(Blame.of(this.ends, List.of())).containsExactlyInAnyOrder("fatal", "a");
+		assertThat(Blame.blamedRequests(this.ends, List.of())).containsExactlyInAnyOrder("fatal", "a");
 	}
 
 	@Test
@@ -74,7 +74,7 @@
 		ended("s3", "fatal");
 		ended("s4", "another");
 		ended("s5", "another");
-		assertThat(Blame.of(this.ends, List.of())).containsExactlyInAnyOrder("fatal", "another");
+		assertThat(Blame.blamedRequests(this.ends, List.of())).containsExactlyInAnyOrder("fatal", "another");
 	}
 
 	/**
--- a/decide/src/test/java/org/snowwind/decide/blame/PoolModel.java
+++ b/decide/src/test/java/org/snowwind/decide/blame/PoolModel.java
@@ -79,7 +79,7 @@
 		List<ServerEnd> reported = this.unreported.remove(this.nowMillis);
 		if (reported != null) {
 			this.ends.addAll(reported);
-			this.blamed = Blame.of(this.ends, this.cleared);
+			this.blamed = Blame.blamedRequests(this.ends, this.cleared);
 			this.blamed.stream().filter((request) -> !request.startsWith("fatal")).forEach(this.falselyBlamed::add);
 		}
 	}
@@ -136,7 +136,7 @@
 
 	private void recordAnswer(String request) {
 		List<ServerEnd> answered = this.ends.stream().filter((end) -> end.request().equals(request)).toList();
-		if (answered.size() >= Blame.CLEARED_ENDS) {
+		if (answered.size() >= Blame.MIN_CLEARABLE_ENDS) {
 			answered.forEach(this.ends::remove);
 			this.cleared.addAll(answered);
 		}
--- a/decide/src/test/java/org/snowwind/decide/choice/ChoiceTests.java
+++ b/decide/src/test/java/org/snowwind/decide/choice/ChoiceTests.java
@@ -5,7 +5,7 @@
 import java.util.stream.IntStream;
 
 import org.junit.jupiter.api.Test;
-import org.snowwind.decide.choice.Breaker.BreakerSettings;
+import org.snowwind.decide.choice.CircuitBreaker.BreakerSettings;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -52,53 +52,53 @@
 	@Test
 	void allServersAreKeptWhenMostSeemDown() {
 		List<ServerView> servers = List.of(server("a", 0), server("b", 0), server("c", 0));
-		assertThat(Candidates.healthyUnlessPanic(servers, (view) -> !"a".equals(view.name()), 0.4)).hasSize(2);
-		assertThat(Candidates.healthyUnlessPanic(servers, (view) -> "a".equals(view.name()), 0.4)).hasSize(3);
+		assertThat(CandidateFilter.healthyUnlessPanic(servers, (view) -> !"a".equals(view.name()), 0.4)).hasSize(2);
+		assertThat(CandidateFilter.healthyUnlessPanic(servers, (view) -> "a".equals(view.name()), 0.4)).hasSize(3);
 	}
 
 	@Test
 	void workStaysLocalUntilLocalServersAreFull() {
 		List<ServerView> withCapacity = List.of(server("near", 1), remote("far", 0));
-		assertThat(Candidates.nearUnlessFull(withCapacity, 1)).extracting(ServerView::name).containsExactly("near");
+		assertThat(CandidateFilter.localUnlessFull(withCapacity, 1)).extracting(ServerView::name).containsExactly("near");
 		List<ServerView> full = List.of(server("near", 30), remote("far", 0));
-		assertThat(Candidates.nearUnlessFull(full, 1)).extracting(ServerView::name).containsExactly("far");
+		assertThat(CandidateFilter.localUnlessFull(full, 1)).extracting(ServerView::name).containsExactly("far");
 		List<ServerView> allFull = List.of(server("near", 30), remote("far", 30));
-		assertThat(Candidates.nearUnlessFull(allFull, 1)).extracting(ServerView::name).containsExactly("near");
+		assertThat(CandidateFilter.localUnlessFull(allFull, 1)).extracting(ServerView::name).containsExactly("near");
 	}
 
 	@Test
 	void breakerOpensProbesAndStartsSlowly() {
-		Breaker breaker = new Breaker(new BreakerSettings(2, 100, 1000, 0.1));
-		breaker.failed(0);
+		CircuitBreaker breaker = new CircuitBreaker(new BreakerSettings(2, 100, 1000, 0.1));
+		breaker.recordFailure(0);
 		assertThat(breaker.allows(0)).isTrue();
-		breaker.failed(0);
+		breaker.recordFailure(0);
 		assertThat(breaker.allows(50)).isFalse();
 		assertThat(breaker.allows(100)).isTrue();
-		breaker.sent();
+		breaker.recordSent();
 		assertThat(breaker.allows(5000)).isFalse();
-		breaker.succeeded(150);
+		breaker.recordSuccess(150);
 		assertThat(breaker.allows(150)).isTrue();
-		assertThat(breaker.startFactor(150)).isEqualTo(0.1);
-		assertThat(breaker.startFactor(650)).isEqualTo(0.5);
-		assertThat(breaker.startFactor(5000)).isEqualTo(1);
+		assertThat(breaker.slowStartFactor(150)).isEqualTo(0.1);
+		assertThat(breaker.slowStartFactor(650)).isEqualTo(0.5);
+		assertThat(breaker.slowStartFactor(5000)).isEqualTo(1);
 	}
 
 	@Test
 	void eachFailedProbeDoublesTheOpenTime() {
-		Breaker breaker = new Breaker(new BreakerSettings(1, 100, 1000, 0.1));
-		breaker.failed(0);
-		breaker.sent();
-		breaker.failed(100);
+		CircuitBreaker breaker = new CircuitBreaker(new BreakerSettings(1, 100, 1000, 0.1));
+		breaker.recordFailure(0);
+		breaker.recordSent();
+		breaker.recordFailure(100);
 		assertThat(breaker.allows(299)).isFalse();
 		assertThat(breaker.allows(300)).isTrue();
 	}
 
 	@Test
 	void withdrawnProbeAllowsAnotherProbe() {
-		Breaker breaker = new Breaker(new BreakerSettings(1, 100, 1000, 0.1));
-		breaker.failed(0);
-		breaker.sent();
-		breaker.withdrawn();
+		CircuitBreaker breaker = new CircuitBreaker(new BreakerSettings(1, 100, 1000, 0.1));
+		breaker.recordFailure(0);
+		breaker.recordSent();
+		breaker.recordWithdrawn();
 		assertThat(breaker.allows(100)).isTrue();
 	}
 
@@ -107,8 +107,8 @@
 		List<String> three = List.of("a", "b", "c");
 		List<String> two = List.of("a", "b");
 		for (int key = 0; key < 100; key++) {
-			String before = Rendezvous.first(three, (name) -> name, "key" + key, 1).get(0);
-			String after = Rendezvous.first(two, (name) -> name, "key" + key, 1).get(0);
+			String before = RendezvousHashing.highestRanked(three, (name) -> name, "key" + key, 1).get(0);
+			String after = RendezvousHashing.highestRanked(two, (name) -> name, "key" + key, 1).get(0);
 			if (!"c".equals(before)) {
 				assertThat(after).isEqualTo(before);
 			}
--- a/decide/src/test/java/org/snowwind/decide/ledger/LedgerTests.java
+++ b/decide/src/test/java/org/snowwind/decide/ledger/LedgerTests.java
@@ -95,7 +95,7 @@
 	@Test
 	void attemptThatNeverReachedTheBackEndCountsAsRevoked() {
 		this.ledger.begin(id(1));
-		this.ledger.neverReachedBackend(id(1));
+		this.ledger.recordNeverReachedBackend(id(1));
 		assertThat(this.ledger.revoke(id(1))).isEqualTo(RevokeOutcome.NEVER_WILL_BEGIN);
 		assertThat(this.ledger.begin(id(1))).isEqualTo(BeginVerdict.REVOKED);
 	}
--- a/decide/src/test/java/org/snowwind/decide/notice/ServerBackoffTests.java
+++ b/decide/src/test/java/org/snowwind/decide/notice/ServerBackoffTests.java
@@ -14,13 +14,13 @@
 	private final ServerBackoff backoff = new ServerBackoff();
 
 	private void retryAfter(long millis, long nowMillis) {
-		this.backoff.retryAfter(millis, ReturnPace.AT_ONCE, nowMillis);
+		this.backoff.recordRetryAfter(millis, RampUp.UNRESTRICTED, nowMillis);
 	}
 
 	@Test
 	void serverWithoutBackoffIsSentRequests() {
 		assertThat(this.backoff.admits(START)).isTrue();
-		this.backoff.sent(START);
+		this.backoff.recordSent(START);
 		assertThat(this.backoff.admits(START)).isTrue();
 		assertThat(this.backoff.isActive(START)).isFalse();
 	}
@@ -57,14 +57,14 @@
 
 	@Test
 	void processDoesNotExceedItsRateDuringTheRampUp() {
-		this.backoff.retryAfter(1000, new ReturnPace(400, 150), START);
+		this.backoff.recordRetryAfter(1000, new RampUp(400, 150), START);
 		assertThat(this.backoff.isActive(START + 1000)).isFalse();
 		assertThat(this.backoff.admits(START + 1149)).isFalse();
 		assertThat(this.backoff.admits(START + 1150)).isTrue();
-		this.backoff.sent(START + 1150);
+		this.backoff.recordSent(START + 1150);
 		assertThat(this.backoff.admits(START + 1151)).isFalse();
 		assertThat(this.backoff.admits(START + 1550)).isTrue();
-		this.backoff.sent(START + 2800);
+		this.backoff.recordSent(START + 2800);
 		assertThat(this.backoff.admits(START + 2801)).as("four spreads after the ramp-up started").isTrue();
 	}
 
--- a/decide/src/test/java/org/snowwind/decide/outcome/NextStepRulesTests.java
+++ b/decide/src/test/java/org/snowwind/decide/outcome/NextStepRulesTests.java
@@ -14,7 +14,7 @@
 	void workThatMayHaveBegunIsNotRetriedUnlessRepeatable(@ForAll AttemptEnd end, @ForAll boolean resumable,
 			@ForAll @LongRange(min = 0, max = 2) long bytes, @ForAll @IntRange(min = 1, max = 4) int attempts,
 			@ForAll @LongRange(min = -1, max = 1) long remaining, @ForAll boolean budget, @ForAll boolean server) {
-		Situation context = new Situation(end, false, resumable, bytes, attempts, 3, remaining, budget, server, false,
+		RetryContext context = new RetryContext(end, false, resumable, bytes, attempts, 3, remaining, budget, server, false,
 				null);
 		NextStep step = NextStepRules.decide(context);
 		if (!end.provesNotRun()) {
@@ -26,7 +26,7 @@
 	void notRunIsReportedOnlyWithProof(@ForAll AttemptEnd end, @ForAll boolean repeatable, @ForAll boolean resumable,
 			@ForAll @LongRange(min = 0, max = 2) long bytes, @ForAll @IntRange(min = 1, max = 4) int attempts,
 			@ForAll @LongRange(min = -1, max = 1) long remaining, @ForAll boolean budget, @ForAll boolean server) {
-		Situation context = new Situation(end, repeatable, resumable, bytes, attempts, 3, remaining, budget, server,
+		RetryContext context = new RetryContext(end, repeatable, resumable, bytes, attempts, 3, remaining, budget, server,
 				false, null);
 		NextStep step = NextStepRules.decide(context);
 		if (step instanceof NextStep.Finish finish && finish.disclosure() == Disclosure.NOT_RUN) {
@@ -38,7 +38,7 @@
 	void partlyDeliveredAnswerIsNeverRestarted(@ForAll AttemptEnd end, @ForAll boolean repeatable,
 			@ForAll boolean resumable, @ForAll @IntRange(min = 1, max = 4) int attempts,
 			@ForAll @LongRange(min = -1, max = 1) long remaining, @ForAll boolean budget, @ForAll boolean server) {
-		Situation context = new Situation(end, repeatable, resumable, 1, attempts, 3, remaining, budget, server, false,
+		RetryContext context = new RetryContext(end, repeatable, resumable, 1, attempts, 3, remaining, budget, server, false,
 				null);
 		assertThat(NextStepRules.decide(context)).isNotSameAs(NextStep.SEND);
 	}
@@ -46,7 +46,7 @@
 	@Property(seed = "20261202")
 	void nothingIsSentWithoutTimeLeft(@ForAll AttemptEnd end, @ForAll boolean repeatable, @ForAll boolean resumable,
 			@ForAll @LongRange(min = 0, max = 2) long bytes) {
-		Situation context = new Situation(end, repeatable, resumable, bytes, 1, 3, 0, true, true, false, null);
+		RetryContext context = new RetryContext(end, repeatable, resumable, bytes, 1, 3, 0, true, true, false, null);
 		assertThat(NextStepRules.decide(context)).isNotSameAs(NextStep.SEND).isNotSameAs(NextStep.RESUME);
 	}
 
--- a/decide/src/test/java/org/snowwind/decide/outcome/RetryContexts.java
+++ b/decide/src/test/java/org/snowwind/decide/outcome/RetryContexts.java
@@ -10,16 +10,16 @@
 	private RetryContexts() {
 	}
 
-	static Situation after(AttemptEnd end, boolean repeatable) {
-		return new Situation(end, repeatable, true, 0, 1, 3, 1000, true, true, false, null);
+	static RetryContext after(AttemptEnd end, boolean repeatable) {
+		return new RetryContext(end, repeatable, true, 0, 1, 3, 1000, true, true, false, null);
 	}
 
-	static Situation delivered(AttemptEnd end, boolean repeatable, boolean resumable) {
-		return new Situation(end, repeatable, resumable, 100, 1, 3, 1000, true, true, false, null);
+	static RetryContext delivered(AttemptEnd end, boolean repeatable, boolean resumable) {
+		return new RetryContext(end, repeatable, resumable, 100, 1, 3, 1000, true, true, false, null);
 	}
 
-	static Situation spent(AttemptEnd end, boolean repeatable, long remainingMillis, ProblemKind refusal) {
-		return new Situation(end, repeatable, true, 0, 3, 3, remainingMillis, true, true, false, refusal);
+	static RetryContext spent(AttemptEnd end, boolean repeatable, long remainingMillis, ProblemKind refusal) {
+		return new RetryContext(end, repeatable, true, 0, 3, 3, remainingMillis, true, true, false, refusal);
 	}
 
 }
--- a/decide/src/test/java/org/snowwind/decide/outcome/SpentBudgetEndsTheRequestTests.java
+++ b/decide/src/test/java/org/snowwind/decide/outcome/SpentBudgetEndsTheRequestTests.java
@@ -30,7 +30,7 @@
 
 	@Test
 	void rejectionDoesNotHideThatAnEarlierAttemptMayHaveRun() {
-		Situation ranBefore = new Situation(AttemptEnd.REFUSED, true, true, 0, 3, 3, 500, true, true, true,
+		RetryContext ranBefore = new RetryContext(AttemptEnd.REFUSED, true, true, 0, 3, 3, 500, true, true, true,
 				ProblemKind.OVERLOADED);
 		assertThat(this.rule.decide(ranBefore))
 			.isEqualTo(NextStep.finish(Disclosure.UNKNOWN, ProblemKind.BACKEND_FAILED));
--- a/decide/src/test/java/org/snowwind/decide/stop/StopScheduleTests.java
+++ b/decide/src/test/java/org/snowwind/decide/stop/StopScheduleTests.java
@@ -22,18 +22,18 @@
 
 	private static boolean admits(StopSchedule stop, long elapsedMillis, long neededMillis) {
 		long nowMillis = stop.beganMillis() + elapsedMillis;
-		return stop.takes(nowMillis, nowMillis + neededMillis);
+		return stop.accepts(nowMillis, nowMillis + neededMillis);
 	}
 
 	@Test
 	void everyRequestIsAcceptedBeforeSendersKnowOfTheStop() {
-		assertThat(this.stop.known(BEGAN_MILLIS + KNOWN_AFTER_MILLIS - 1)).isFalse();
+		assertThat(this.stop.knownToSenders(BEGAN_MILLIS + KNOWN_AFTER_MILLIS - 1)).isFalse();
 		assertThat(admits(this.stop, KNOWN_AFTER_MILLIS - 1, 60_000)).isTrue();
 	}
 
 	@Test
 	void onlyRequestsThatEndInTimeAreAcceptedOnceSendersKnow() {
-		assertThat(this.stop.known(BEGAN_MILLIS + KNOWN_AFTER_MILLIS)).isTrue();
+		assertThat(this.stop.knownToSenders(BEGAN_MILLIS + KNOWN_AFTER_MILLIS)).isTrue();
 		assertThat(admits(this.stop, KNOWN_AFTER_MILLIS, TOTAL_MILLIS - KNOWN_AFTER_MILLIS)).isTrue();
 		assertThat(admits(this.stop, KNOWN_AFTER_MILLIS, TOTAL_MILLIS - KNOWN_AFTER_MILLIS + 1)).isFalse();
 	}
@@ -41,21 +41,21 @@
 	@Test
 	void requestsMustEndByTheStartOfTheAnswerMargin() {
 		StopSchedule withMargin = StopSchedule.of(BEGAN_MILLIS, KNOWN_AFTER_MILLIS, TOTAL_MILLIS, 100);
-		assertThat(withMargin.lastAnswersMillis()).isEqualTo(BEGAN_MILLIS + TOTAL_MILLIS - 100);
+		assertThat(withMargin.finalAnswersMillis()).isEqualTo(BEGAN_MILLIS + TOTAL_MILLIS - 100);
 		assertThat(admits(withMargin, KNOWN_AFTER_MILLIS, 4900)).isTrue();
 		assertThat(admits(withMargin, KNOWN_AFTER_MILLIS, 4901)).isFalse();
 	}
 
 	@Test
 	void nothingIsAcceptedAtTheEnd() {
-		assertThat(this.stop.over(BEGAN_MILLIS + TOTAL_MILLIS)).isTrue();
+		assertThat(this.stop.ended(BEGAN_MILLIS + TOTAL_MILLIS)).isTrue();
 		assertThat(admits(this.stop, TOTAL_MILLIS, 0)).isFalse();
 	}
 
 	@Test
 	void stopShorterThanTheNoticePeriodAcceptsNothingAtItsEnd() {
 		StopSchedule shortStop = StopSchedule.of(BEGAN_MILLIS, KNOWN_AFTER_MILLIS, 100, 0);
-		assertThat(shortStop.known(BEGAN_MILLIS + 100)).isTrue();
+		assertThat(shortStop.knownToSenders(BEGAN_MILLIS + 100)).isTrue();
 		assertThat(admits(shortStop, 100, 1)).isFalse();
 	}
 
@@ -66,9 +66,9 @@
 
 	@Test
 	void remainingTimeIsNeverNegative() {
-		assertThat(this.stop.leftMillis(BEGAN_MILLIS + 7000)).isEqualTo(1000);
+		assertThat(this.stop.remainingMillis(BEGAN_MILLIS + 7000)).isEqualTo(1000);
 		assertThat(this.stop.elapsedMillis(BEGAN_MILLIS + 7000)).isEqualTo(7000);
-		assertThat(this.stop.leftMillis(BEGAN_MILLIS + 14_000)).isZero();
+		assertThat(this.stop.remainingMillis(BEGAN_MILLIS + 14_000)).isZero();
 	}
 
 	@Property(seed = "20261202")
@@ -76,7 +76,7 @@
 			@ForAll @LongRange(max = 10_000) long totalMillis, @ForAll @LongRange(max = 500) long marginMillis,
 			@ForAll @LongRange(max = 12_000) long atMillis, @ForAll @LongRange(max = 12_000) long neededMillis) {
 		StopSchedule schedule = StopSchedule.of(0, knownAfterMillis, totalMillis, marginMillis);
-		if (schedule.known(atMillis) && admits(schedule, atMillis, neededMillis)) {
+		if (schedule.knownToSenders(atMillis) && admits(schedule, atMillis, neededMillis)) {
 			assertThat(atMillis + neededMillis).isLessThanOrEqualTo(Math.max(0, totalMillis - marginMillis));
 		}
 	}
--- a/entry/src/main/java/org/snowwind/entry/EntryDaemon.java
+++ b/entry/src/main/java/org/snowwind/entry/EntryDaemon.java
@@ -265,7 +265,7 @@
 		StopSchedule schedule = StopSchedule.of(this.clock.nowMillis(), this.settings.graceMillis(),
 				this.settings.graceMillis() + this.settings.drainMillis(), 0);
 		EventLog.log(Event.ENTRY_DRAINING, "entry", this.settings.name(), "graceMillis", this.settings.graceMillis(),
-				"endsInMillis", schedule.leftMillis(this.clock.nowMillis()));
+				"endsInMillis", schedule.remainingMillis(this.clock.nowMillis()));
 		this.membership.drain();
 		new GracefulStop(this.settings.name(), schedule, this.callerServer, this.callers, this.loop, this.clock).run();
 		close();
--- a/entry/src/main/java/org/snowwind/entry/GracefulStop.java
+++ b/entry/src/main/java/org/snowwind/entry/GracefulStop.java
@@ -69,7 +69,7 @@
 	 */
 	void run() {
 		this.loop.run(() -> this.callers.stop(this.schedule));
-		waitUntil(() -> this.schedule.known(nowMillis()), leftMillis());
+		waitUntil(() -> this.schedule.knownToSenders(nowMillis()), leftMillis());
 		this.callerServer.stopListening();
 		this.callerServer.closeIdleConnections();
 		waitUntil(this::idle, leftMillis() - COUNT_BEFORE_END_MILLIS);
@@ -84,7 +84,7 @@
 	}
 
 	private long leftMillis() {
-		return this.schedule.leftMillis(nowMillis());
+		return this.schedule.remainingMillis(nowMillis());
 	}
 
 	// A loop that does not answer may still have some open.
--- a/entry/src/main/java/org/snowwind/entry/burn/BurnReporter.java
+++ b/entry/src/main/java/org/snowwind/entry/burn/BurnReporter.java
@@ -80,13 +80,13 @@
 			.orElse(ServiceLevel.DEFAULT);
 		Map<BurnWindow, Double> burns = new EnumMap<>(BurnWindow.class);
 		for (BurnWindow window : BurnWindow.values()) {
-			burns.put(window, tally(counted, window.minutes()).burn(level.targetShare()));
+			burns.put(window, tally(counted, window.minutes()).burnRate(level.targetShare()));
 		}
 		Tally whole = tally(counted, BurnWindow.THREE_DAYS.minutes());
 		Map<String, Double> labelled = new LinkedHashMap<>();
 		burns.forEach((window, burn) -> labelled.put(window.label(), burn));
 		return new BurnReport.Row(key.organisation(), key.target(), level.targetShare(), 1 - whole.badShare(),
-				1 - whole.burn(level.targetShare()), labelled, BurnAlert.of(burns).name(), topCauses(counted),
+				1 - whole.burnRate(level.targetShare()), labelled, BurnAlert.of(burns).name(), topCauses(counted),
 				worstDataCentre(counted), lastHour(counted));
 	}
 
--- a/entry/src/main/java/org/snowwind/entry/member/ObservedServers.java
+++ b/entry/src/main/java/org/snowwind/entry/member/ObservedServers.java
@@ -8,7 +8,7 @@
 import java.util.TreeSet;
 
 import org.snowwind.config.snapshot.ResourceSet.Named;
-import org.snowwind.decide.choice.Rendezvous;
+import org.snowwind.decide.choice.RendezvousHashing;
 import org.snowwind.model.resource.BackendServerSpec;
 
 /**
@@ -59,7 +59,7 @@
 		List<Named<BackendServerSpec>> side = servers.stream()
 			.filter((server) -> server.spec().dataCentre().equals(dataCentre) == near)
 			.toList();
-		return Rendezvous.first(side, Named::name, entry, count);
+		return RendezvousHashing.highestRanked(side, Named::name, entry, count);
 	}
 
 }
--- a/entry/src/main/java/org/snowwind/entry/member/PeerTable.java
+++ b/entry/src/main/java/org/snowwind/entry/member/PeerTable.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 import java.util.Set;
 
-import org.snowwind.decide.choice.Rendezvous;
+import org.snowwind.decide.choice.RendezvousHashing;
 import org.snowwind.model.MonotonicClock;
 import org.snowwind.model.event.Event;
 import org.snowwind.model.event.EventLog;
@@ -171,8 +171,8 @@
 			}
 		}
 		if (representative) {
-			abroad.forEach((where, entries) -> Rendezvous
-				.first(entries, Peer::name, "representative-" + where, REPRESENTATIVES)
+			abroad.forEach((where, entries) -> RendezvousHashing
+				.highestRanked(entries, Peer::name, "representative-" + where, REPRESENTATIVES)
 				.forEach((peer) -> partners.add(peer.address)));
 		}
 		return partners;
@@ -190,7 +190,7 @@
 		List<String> names = new ArrayList<>();
 		names.add(this.ownName);
 		liveHere().forEach((peer) -> names.add(peer.name()));
-		return Rendezvous.first(names, (name) -> name, seed + this.dataCentre, count).contains(this.ownName);
+		return RendezvousHashing.highestRanked(names, (name) -> name, seed + this.dataCentre, count).contains(this.ownName);
 	}
 
 	private List<Peer> liveHere() {
--- a/entry/src/main/java/org/snowwind/entry/member/Server.java
+++ b/entry/src/main/java/org/snowwind/entry/member/Server.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Set;
 
-import org.snowwind.decide.choice.Breaker;
+import org.snowwind.decide.choice.CircuitBreaker;
 import org.snowwind.decide.choice.ServerView;
 import org.snowwind.model.resource.BackendServerSpec;
 import org.snowwind.wire.generated.AgentReport;
@@ -22,7 +22,7 @@
 
 	private final boolean sameDataCentre;
 
-	private final Breaker breaker = new Breaker(Breaker.BreakerSettings.DEFAULT);
+	private final CircuitBreaker breaker = new CircuitBreaker(CircuitBreaker.BreakerSettings.DEFAULT);
 
 	private final Set<Runnable> waitingForHead = new LinkedHashSet<>();
 
@@ -76,7 +76,7 @@
 	 * Returns its breaker.
 	 * @return the breaker
 	 */
-	public Breaker breaker() {
+	public CircuitBreaker breaker() {
 		return this.breaker;
 	}
 
@@ -185,7 +185,7 @@
 		double freshness = Math.max(0, 1 - (nowMillis - this.heardMillis) / REPORT_LIFE_MILLIS);
 		double reported = (this.report.getRunning() + this.report.getQueued()) * freshness;
 		return new ServerView(this.name, this.sameDataCentre, this.inFlight, reported,
-				this.report.getConcurrencyLimit(), this.breaker.startFactor(nowMillis));
+				this.report.getConcurrencyLimit(), this.breaker.slowStartFactor(nowMillis));
 	}
 
 	/**
--- a/entry/src/main/java/org/snowwind/entry/member/ServerTable.java
+++ b/entry/src/main/java/org/snowwind/entry/member/ServerTable.java
@@ -12,7 +12,7 @@
 
 import org.snowwind.config.snapshot.ResourceSet.Named;
 import org.snowwind.config.snapshot.Snapshot;
-import org.snowwind.decide.choice.Candidates;
+import org.snowwind.decide.choice.CandidateFilter;
 import org.snowwind.decide.choice.PrefixAffinity;
 import org.snowwind.decide.choice.RoundRobin;
 import org.snowwind.decide.choice.ServerChooser;
@@ -98,9 +98,9 @@
 				views.add(server.view(nowMillis));
 			}
 		}
-		List<ServerView> healthy = Candidates.healthyUnlessPanic(views,
+		List<ServerView> healthy = CandidateFilter.healthyUnlessPanic(views,
 				(view) -> this.servers.get(view.name()).healthy(nowMillis), PANIC_SHARE);
-		List<ServerView> near = Candidates.nearUnlessFull(healthy, SPILL_FULLNESS);
+		List<ServerView> near = CandidateFilter.localUnlessFull(healthy, SPILL_FULLNESS);
 		return this.choosers.get(choice).choose(near, affinityHash).map((view) -> this.servers.get(view.name()));
 	}
 
--- a/entry/src/main/java/org/snowwind/entry/request/Attempt.java
+++ b/entry/src/main/java/org/snowwind/entry/request/Attempt.java
@@ -74,7 +74,7 @@
 	 */
 	void send(long budgetMillis, long headWithinMillis, int resumeAt) {
 		this.server.sent(this.whenLost);
-		this.server.breaker().sent();
+		this.server.breaker().recordSent();
 		this.timer = this.context.loop().later(() -> fail("no answer in time"), headWithinMillis);
 		Map<String, String> headers = new HashMap<>(this.request.headers());
 		headers.put(AttemptHeaders.ATTEMPT, this.id.toString());
@@ -135,7 +135,7 @@
 	void abandon() {
 		if (!this.over) {
 			close();
-			this.server.breaker().withdrawn();
+			this.server.breaker().recordWithdrawn();
 			cancelCall();
 		}
 	}
@@ -254,15 +254,15 @@
 	private void judgeServer(AttemptEnd end) {
 		long nowMillis = this.context.clock().nowMillis();
 		switch (end) {
-			case ANSWERED -> this.server.breaker().succeeded(nowMillis);
-			case NOT_SENT, SENT_THEN_LOST, LOST_FOR_GOOD, BEGAN_THEN_BROKE -> this.server.breaker().failed(nowMillis);
+			case ANSWERED -> this.server.breaker().recordSuccess(nowMillis);
+			case NOT_SENT, SENT_THEN_LOST, LOST_FOR_GOOD, BEGAN_THEN_BROKE -> this.server.breaker().recordFailure(nowMillis);
 			case REFUSED -> noteRefusal();
-			case REVOKED -> this.server.breaker().withdrawn();
+			case REVOKED -> this.server.breaker().recordWithdrawn();
 		}
 	}
 
 	private void noteRefusal() {
-		this.server.breaker().withdrawn();
+		this.server.breaker().recordWithdrawn();
 		if (this.refusal == ProblemKind.NOT_READY) {
 			this.server.refusesNewWork();
 		}
--- a/entry/src/main/java/org/snowwind/entry/request/CallerHandler.java
+++ b/entry/src/main/java/org/snowwind/entry/request/CallerHandler.java
@@ -75,7 +75,7 @@
 		this.stop = schedule;
 		for (OpenRequest open : Set.copyOf(this.openRequests)) {
 			open.exchange.closeAfterAnswer();
-			open.endWithin(schedule.leftMillis(nowMillis()));
+			open.endWithin(schedule.remainingMillis(nowMillis()));
 		}
 	}
 
@@ -146,7 +146,7 @@
 				this.context.clock().nowMillis());
 		this.openRequests.add(open);
 		if (this.stop != null) {
-			open.endWithin(this.stop.leftMillis(nowMillis()));
+			open.endWithin(this.stop.remainingMillis(nowMillis()));
 		}
 		exchange.onGone(open::leave);
 		exchange.readBody(organisation.spec().maxBodyBytes(), (body) -> read(exchange, target, body, open),
@@ -189,10 +189,10 @@
 			return true;
 		}
 		long neededMillis = leftMillis(request, open);
-		boolean takes = this.stop.takes(nowMillis(), nowMillis() + neededMillis);
+		boolean takes = this.stop.accepts(nowMillis(), nowMillis() + neededMillis);
 		if (!takes) {
 			EventLog.log(Event.REQUEST_REFUSED, "organisation", open.organisation, "target", request.target(),
-					"neededMillis", neededMillis, "stopLeftMillis", this.stop.leftMillis(nowMillis()), "reason",
+					"neededMillis", neededMillis, "stopLeftMillis", this.stop.remainingMillis(nowMillis()), "reason",
 					"stop");
 		}
 		return takes;
@@ -260,7 +260,7 @@
 		open.flow = new RequestFlow(this.context, request, open.exchange, open.arrivedMillis, whenEnded);
 		open.flow.start();
 		if (this.stop != null) {
-			open.flow.endWithin(this.stop.leftMillis(nowMillis()));
+			open.flow.endWithin(this.stop.remainingMillis(nowMillis()));
 		}
 	}
 
--- a/entry/src/main/java/org/snowwind/entry/request/RequestFlow.java
+++ b/entry/src/main/java/org/snowwind/entry/request/RequestFlow.java
@@ -10,7 +10,7 @@
 import org.snowwind.decide.outcome.AttemptEnd;
 import org.snowwind.decide.outcome.NextStep;
 import org.snowwind.decide.outcome.NextStepRules;
-import org.snowwind.decide.outcome.Situation;
+import org.snowwind.decide.outcome.RetryContext;
 import org.snowwind.entry.burn.BurnCounter;
 import org.snowwind.entry.member.Server;
 import org.snowwind.http.server.HttpExchange;
@@ -28,7 +28,7 @@
  * What to do after each attempt is decided by {@link NextStepRules}; this class only does
  * it.
  */
-final class RequestFlow implements AttemptObserver, NextStep.Cases {
+final class RequestFlow implements AttemptObserver, NextStep.Visitor {
 
 	private static final int OK = 200;
 
@@ -343,14 +343,14 @@
 			this.refusedBy.add(this.attempt.server().name());
 		}
 		boolean serverLeft = this.context.servers().anyLeft(this.request.target(), this.refusedBy);
-		Situation situation = new Situation(end, this.request.repeatable(), this.tracker.resumable(),
+		RetryContext situation = new RetryContext(end, this.request.repeatable(), this.tracker.resumable(),
 				this.bytesDelivered, this.attemptsUsed, this.request.policy().maxAttempts(), remainingMillis(),
 				retryBudget().allows(), serverLeft, this.mayHaveRun, this.attempt.refusal());
 		NextStep next = NextStepRules.decide(situation);
 		logDecision(end, next);
 		// Whoever is asked about a lost attempt may still prove that it did not run.
-		this.mayHaveRun |= end.broke() && next != NextStep.REVOKE;
-		next.perform(this);
+		this.mayHaveRun |= end.mayHaveRunUnanswered() && next != NextStep.REVOKE;
+		next.accept(this);
 	}
 
 	private void logDecision(AttemptEnd end, NextStep next) {
--- a/entry/src/main/java/org/snowwind/entry/request/RequestReader.java
+++ b/entry/src/main/java/org/snowwind/entry/request/RequestReader.java
@@ -9,7 +9,7 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import org.snowwind.config.snapshot.Snapshot;
-import org.snowwind.decide.choice.Rendezvous;
+import org.snowwind.decide.choice.RendezvousHashing;
 import org.snowwind.http.server.HttpExchange;
 import org.snowwind.model.AttemptHeaders;
 import org.snowwind.model.Json;
@@ -222,7 +222,7 @@
 
 		private static Prompt of(String text, int maxTokens) {
 			String prefix = text.substring(0, Math.min(PREFIX_CHARS, text.length()));
-			return new Prompt(text.length() / CHARS_PER_TOKEN + maxTokens, Rendezvous.hash(prefix));
+			return new Prompt(text.length() / CHARS_PER_TOKEN + maxTokens, RendezvousHashing.hash(prefix));
 		}
 
 	}
--- a/gateway/src/main/java/org/snowwind/gateway/backend/Backend.java
+++ b/gateway/src/main/java/org/snowwind/gateway/backend/Backend.java
@@ -1,7 +1,7 @@
 package org.snowwind.gateway.backend;
 
-import org.snowwind.decide.choice.Breaker;
-import org.snowwind.decide.notice.ReturnPace;
+import org.snowwind.decide.choice.CircuitBreaker;
+import org.snowwind.decide.notice.RampUp;
 import org.snowwind.decide.notice.ServerNotice;
 import org.snowwind.gateway.registry.BackendEntry;
 import org.snowwind.gateway.table.EngineProfile;
@@ -30,9 +30,9 @@
 	 * is down for seconds. After an ejection its share of the requests rises back to the
 	 * full share within a second.
 	 */
-	private static final Breaker.BreakerSettings EJECTION = new Breaker.BreakerSettings(2, 500, 1000, 0.3);
+	private static final CircuitBreaker.BreakerSettings EJECTION = new CircuitBreaker.BreakerSettings(2, 500, 1000, 0.3);
 
-	private final Breaker breaker = new Breaker(EJECTION);
+	private final CircuitBreaker breaker = new CircuitBreaker(EJECTION);
 
 	private final BackendNotices notices;
 
@@ -84,7 +84,7 @@
 	 * @param pace how this process returns after a backoff
 	 * @param nowMillis the time, in milliseconds
 	 */
-	void onResponseHead(ServerNotice notice, BackendNotices.Source source, ReturnPace pace, long nowMillis) {
+	void onResponseHead(ServerNotice notice, BackendNotices.Source source, RampUp pace, long nowMillis) {
 		this.notices.onResponseHead(notice, source, pace, nowMillis);
 	}
 
@@ -193,7 +193,7 @@
 	public void sent(long nowMillis) {
 		this.notices.sent(nowMillis);
 		this.inFlight++;
-		this.breaker.sent();
+		this.breaker.recordSent();
 		if (this.group != null) {
 			this.group.sent();
 		}
@@ -247,7 +247,7 @@
 	 */
 	public void answered(long tookMillis, long nowMillis) {
 		onRequestEnd();
-		this.breaker.succeeded(nowMillis);
+		this.breaker.recordSuccess(nowMillis);
 		if (this.ejected) {
 			this.ejected = false;
 			EventLog.log(Event.SERVER_RETURNED, "server", id());
@@ -262,7 +262,7 @@
 	 */
 	public void failed(long nowMillis) {
 		onRequestEnd();
-		this.breaker.failed(nowMillis);
+		this.breaker.recordFailure(nowMillis);
 		recordOutcome(1, nowMillis);
 		if (!this.ejected && !this.breaker.allows(nowMillis)) {
 			this.ejected = true;
@@ -287,7 +287,7 @@
 	 */
 	public void withdrawn() {
 		onRequestEnd();
-		this.breaker.withdrawn();
+		this.breaker.recordWithdrawn();
 	}
 
 	/**
@@ -321,7 +321,7 @@
 	 */
 	public BackendView view(long nowMillis) {
 		return new BackendView(id(), load(), this.entry.slots(), this.answerMillis, failureRate(nowMillis),
-				this.breaker.startFactor(nowMillis));
+				this.breaker.slowStartFactor(nowMillis));
 	}
 
 }
--- a/gateway/src/main/java/org/snowwind/gateway/backend/BackendNotices.java
+++ b/gateway/src/main/java/org/snowwind/gateway/backend/BackendNotices.java
@@ -1,6 +1,6 @@
 package org.snowwind.gateway.backend;
 
-import org.snowwind.decide.notice.ReturnPace;
+import org.snowwind.decide.notice.RampUp;
 import org.snowwind.decide.notice.ServerBackoff;
 import org.snowwind.decide.notice.ServerNotice;
 import org.snowwind.gateway.registry.BackendRun;
@@ -49,7 +49,7 @@
 	 * @param pace how this process returns after a backoff
 	 * @param nowMillis the time, in milliseconds
 	 */
-	void onResponseHead(ServerNotice notice, Source source, ReturnPace pace, long nowMillis) {
+	void onResponseHead(ServerNotice notice, Source source, RampUp pace, long nowMillis) {
 		this.limit.onResponseHead(notice.limit(), source.signed(), source.sentMillis(), nowMillis);
 		if (notice.retryAfterMillis() > 0) {
 			onRetryAfter(notice.retryAfterMillis(), source, pace, nowMillis);
@@ -63,9 +63,9 @@
 		}
 	}
 
-	private void onRetryAfter(long retryAfterMillis, Source source, ReturnPace pace, long nowMillis) {
+	private void onRetryAfter(long retryAfterMillis, Source source, RampUp pace, long nowMillis) {
 		boolean wasActive = this.backoff.isActive(nowMillis);
-		boolean later = this.backoff.retryAfter(retryAfterMillis, pace, nowMillis);
+		boolean later = this.backoff.recordRetryAfter(retryAfterMillis, pace, nowMillis);
 		if (later && (!wasActive || nowMillis >= this.nextLogMillis)) {
 			this.nextLogMillis = nowMillis + LOG_PERIOD_MILLIS;
 			this.backoffLogged = true;
@@ -94,7 +94,7 @@
 	 */
 	void sent(long nowMillis) {
 		this.limit.sent(nowMillis);
-		this.backoff.sent(nowMillis);
+		this.backoff.recordSent(nowMillis);
 		if (this.backoffLogged) {
 			this.backoffLogged = false;
 			EventLog.log(Event.SERVER_BACKOFF_ENDED, "server", this.run.id(), "bornMillis", this.run.bornMillis(),
--- a/gateway/src/main/java/org/snowwind/gateway/backend/BackendTable.java
+++ b/gateway/src/main/java/org/snowwind/gateway/backend/BackendTable.java
@@ -11,7 +11,7 @@
 import java.util.random.RandomGenerator;
 import java.util.stream.Collectors;
 
-import org.snowwind.decide.notice.ReturnPace;
+import org.snowwind.decide.notice.RampUp;
 import org.snowwind.decide.notice.ServerNotice;
 import org.snowwind.gateway.registry.BackendEntry;
 import org.snowwind.gateway.registry.BackendRun;
@@ -148,12 +148,12 @@
 	public void onResponseHead(Backend backend, ServerNotice notice, BackendNotices.Source source) {
 		boolean startsBackoff = notice.retryAfterMillis() > 0;
 		backend.onResponseHead(notice, source,
-				startsBackoff ? pace(backend, notice.retryAfterMillis()) : ReturnPace.AT_ONCE, this.clock.nowMillis());
+				startsBackoff ? pace(backend, notice.retryAfterMillis()) : RampUp.UNRESTRICTED, this.clock.nowMillis());
 	}
 
-	private ReturnPace pace(Backend backend, long backoffMillis) {
+	private RampUp pace(Backend backend, long backoffMillis) {
 		BackendView view = backend.view(this.clock.nowMillis());
-		return ReturnPace.of(this.gateways.getAsInt(), view.answerMillis(), view.slots(), backoffMillis,
+		return RampUp.of(this.gateways.getAsInt(), view.answerMillis(), view.slots(), backoffMillis,
 				this.random.nextDouble());
 	}
 
--- a/gateway/src/main/java/org/snowwind/gateway/limit/LimitDuty.java
+++ b/gateway/src/main/java/org/snowwind/gateway/limit/LimitDuty.java
@@ -10,7 +10,7 @@
 import java.util.function.Supplier;
 
 import org.snowwind.config.settings.Addresses;
-import org.snowwind.decide.choice.Rendezvous;
+import org.snowwind.decide.choice.RendezvousHashing;
 import org.snowwind.gateway.backend.SharedLimits.Grant;
 import org.snowwind.gateway.backend.SharedLimits.Wish;
 import org.snowwind.model.MonotonicClock;
@@ -268,7 +268,7 @@
 		// Returns the empty name if no gateway is left.
 		private synchronized String coordinatorOf(String server) {
 			return this.coordinatorByServer.computeIfAbsent(server,
-					(id) -> Rendezvous.first(this.candidates, (gateway) -> gateway, id, 1)
+					(id) -> RendezvousHashing.highestRanked(this.candidates, (gateway) -> gateway, id, 1)
 						.stream()
 						.findFirst()
 						.orElse(""));
--- a/gateway/src/main/java/org/snowwind/gateway/peer/CallRota.java
+++ b/gateway/src/main/java/org/snowwind/gateway/peer/CallRota.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Map;
 
-import org.snowwind.decide.choice.Rendezvous;
+import org.snowwind.decide.choice.RendezvousHashing;
 
 /**
  * Spreads the calls to all peers over a period, so that information that peers relay
@@ -54,7 +54,7 @@
 	// that were discovered together spread over the period.
 	private PeerCalls next(String address, PeerCalls calls, long nowMillis, long periodMillis) {
 		if (calls == null) {
-			double fraction = (double) Math.floorMod(Rendezvous.hash(this.ownAddress + ' ' + address), HASH_BUCKETS)
+			double fraction = (double) Math.floorMod(RendezvousHashing.hash(this.ownAddress + ' ' + address), HASH_BUCKETS)
 					/ HASH_BUCKETS;
 			return new PeerCalls(nowMillis + Math.round(periodMillis * (MIN_FIRST_DELAY_PERIODS + fraction)), 1);
 		}
--- a/gateway/src/main/java/org/snowwind/gateway/peer/ConfirmationRank.java
+++ b/gateway/src/main/java/org/snowwind/gateway/peer/ConfirmationRank.java
@@ -3,7 +3,7 @@
 import java.util.Set;
 import java.util.function.Supplier;
 
-import org.snowwind.decide.choice.Rendezvous;
+import org.snowwind.decide.choice.RendezvousHashing;
 
 /**
  * Ranks the live gateways for asking the store whether copies are still the newest. All
@@ -33,11 +33,11 @@
 	 * @return the number of gateways, 0 for the first in rank
 	 */
 	public int of(String prefix) {
-		long seed = Rendezvous.hash(prefix);
-		long own = Rendezvous.score(this.name, seed);
+		long seed = RendezvousHashing.hash(prefix);
+		long own = RendezvousHashing.score(this.name, seed);
 		return (int) this.confirmingPeers.get()
 			.stream()
-			.filter((peer) -> Long.compareUnsigned(Rendezvous.score(peer, seed), own) > 0)
+			.filter((peer) -> Long.compareUnsigned(RendezvousHashing.score(peer, seed), own) > 0)
 			.count();
 	}
 
--- a/gateway/src/main/java/org/snowwind/gateway/request/GatewayHandler.java
+++ b/gateway/src/main/java/org/snowwind/gateway/request/GatewayHandler.java
@@ -169,7 +169,7 @@
 			return false;
 		}
 		exchange.closeAfterAnswer();
-		boolean accepted = !this.closed && this.stop.takes(this.context.clock().nowMillis(), deadlineMillis);
+		boolean accepted = !this.closed && this.stop.accepts(this.context.clock().nowMillis(), deadlineMillis);
 		if (!accepted) {
 			logDuringStop(Event.REFUSED_IN_STOP, exchange, request.metadata, deadlineMillis);
 			request.reject();
@@ -219,7 +219,7 @@
 		EventLog.log(event, "request", metadata.requestId(), "afterMillis", this.stop.elapsedMillis(nowMillis),
 				"newConnection", connection.ageMillis() <= this.stop.elapsedMillis(nowMillis), "connectionAgeMillis",
 				connection.ageMillis(), "earlierRequests", connection.earlierRequests(), "asksMillis",
-				deadlineMillis - nowMillis, "leftMillis", this.stop.leftMillis(nowMillis));
+				deadlineMillis - nowMillis, "leftMillis", this.stop.remainingMillis(nowMillis));
 	}
 
 	private void logRouted(CallerRequest request) {
--- a/gateway/src/main/java/org/snowwind/gateway/request/Relay.java
+++ b/gateway/src/main/java/org/snowwind/gateway/request/Relay.java
@@ -9,7 +9,7 @@
 import org.snowwind.decide.outcome.AttemptEnd;
 import org.snowwind.decide.outcome.NextStep;
 import org.snowwind.decide.outcome.NextStepRules;
-import org.snowwind.decide.outcome.Situation;
+import org.snowwind.decide.outcome.RetryContext;
 import org.snowwind.gateway.backend.Admission;
 import org.snowwind.gateway.backend.Arrival;
 import org.snowwind.gateway.backend.Backend;
@@ -29,7 +29,7 @@
  * {@link NextStepRules} decides the next step after each attempt; this class only carries
  * it out.
  */
-final class Relay implements AttemptListener, NextStep.Cases {
+final class Relay implements AttemptListener, NextStep.Visitor {
 
 	private static final int SERVER_ERROR = 500;
 
@@ -439,7 +439,7 @@
 		if (!end.provesNotRun()) {
 			this.possibleRuns++;
 		}
-		if (end.broke()) {
+		if (end.mayHaveRunUnanswered()) {
 			this.suspicion.recordBrokenAttempt(this.attempt,
 					this.context.clock().nowMillis() - this.attempt.sentMillis());
 		}
@@ -447,7 +447,7 @@
 			this.possibleArrivals--;
 		}
 		boolean serverLeft = this.sends < MAX_SENDS && this.context.backends().anyTakesNewWork(this.request.service());
-		Situation situation = new Situation(end, this.request.route().repeatable(),
+		RetryContext situation = new RetryContext(end, this.request.route().repeatable(),
 				this.request.route().resumable() && this.position.isExact(), this.position.bytes(), this.possibleRuns,
 				this.request.route().maxAttempts(), remainingMillis() - MIN_REMAINING_MILLIS, retryAllowed(),
 				serverLeft, this.possibleRuns > (end.provesNotRun() ? 0 : 1),
@@ -456,10 +456,10 @@
 		if (end != AttemptEnd.ANSWERED) {
 			recordStep(situation, step);
 		}
-		step.perform(this);
+		step.accept(this);
 	}
 
-	private void recordStep(Situation situation, NextStep step) {
+	private void recordStep(RetryContext situation, NextStep step) {
 		String name = step.getClass().getSimpleName();
 		int heldBytes = (response() != null) ? response().heldBytes() : 0;
 		this.context.meters().countStep(this.request.service(), name, heldBytes > 0);
--- a/gateway/src/main/java/org/snowwind/gateway/stop/GracefulStop.java
+++ b/gateway/src/main/java/org/snowwind/gateway/stop/GracefulStop.java
@@ -74,13 +74,13 @@
 	 * Carries the stop out, and returns when it is done or the grace has passed.
 	 */
 	public void run() {
-		waitUntil(this.schedule.knownMillis());
+		waitUntil(this.schedule.knownToSendersMillis());
 		closeIdleConnections();
 		// Callers may still be sent here if too few others are in rotation. They fare
 		// better with an answer than with a connection that fails: 96.8 in 100 were
 		// served where it listens to the end, 95.8 where it stops when the balancer must
 		// have noticed; four plays of 24 planned stops each.
-		waitUntilIdle(this.schedule.lastAnswersMillis());
+		waitUntilIdle(this.schedule.finalAnswersMillis());
 		this.callerServer.stopListening();
 		closeIdleConnections();
 		endWhatIsOpen();
--- a/gateway/src/main/java/org/snowwind/gateway/suspect/SuspectBook.java
+++ b/gateway/src/main/java/org/snowwind/gateway/suspect/SuspectBook.java
@@ -106,7 +106,7 @@
 	 */
 	public synchronized void answered(String digest) {
 		Set<String> servers = this.view.serversOf(digest);
-		if (servers.size() >= Blame.CLEARED_ENDS) {
+		if (servers.size() >= Blame.MIN_CLEARABLE_ENDS) {
 			EventLog.log(Event.SUSPECT_CLEARED, "digest", digest, "servers", servers);
 			servers.forEach((server) -> this.own.clear(new ServerEnd(digest, server), this.clock.nowMillis()));
 			this.unwritten = true;
--- a/gateway/src/main/java/org/snowwind/gateway/suspect/SuspectView.java
+++ b/gateway/src/main/java/org/snowwind/gateway/suspect/SuspectView.java
@@ -40,7 +40,7 @@
 	public static SuspectView of(Collection<ServerEnd> ends, Collection<ServerEnd> cleared) {
 		Map<String, Set<String>> servers = new LinkedHashMap<>();
 		ends.forEach((end) -> servers.computeIfAbsent(end.request(), (key) -> new LinkedHashSet<>()).add(end.server()));
-		return new SuspectView(servers, Blame.of(ends, cleared));
+		return new SuspectView(servers, Blame.blamedRequests(ends, cleared));
 	}
 
 	/**
--- a/gateway/src/main/java/org/snowwind/gateway/suspect/Suspects.java
+++ b/gateway/src/main/java/org/snowwind/gateway/suspect/Suspects.java
@@ -64,7 +64,7 @@
 	public boolean grave(int bodyBytes, Supplier<String> digest) {
 		SuspectView known = this.view.get();
 		return known.mayKnow(bodyBytes) && !known.blames(digest.get())
-				&& known.serversOf(digest.get()).size() >= Blame.ENDS;
+				&& known.serversOf(digest.get()).size() >= Blame.MIN_ENDS;
 	}
 
 	/**
@@ -74,7 +74,7 @@
 	 */
 	public void answered(int bodyBytes, Supplier<String> digest) {
 		SuspectView known = this.view.get();
-		if (known.mayKnow(bodyBytes) && known.serversOf(digest.get()).size() >= Blame.CLEARED_ENDS) {
+		if (known.mayKnow(bodyBytes) && known.serversOf(digest.get()).size() >= Blame.MIN_CLEARABLE_ENDS) {
 			this.sightings.answered(digest.get());
 		}
 	}
--- a/gateway/src/test/java/org/snowwind/gateway/backend/AdmissionTests.java
+++ b/gateway/src/test/java/org/snowwind/gateway/backend/AdmissionTests.java
@@ -10,7 +10,7 @@
 import org.snowwind.decide.limit.LimitReport;
 import org.snowwind.decide.limit.AnnouncedLimit;
 import org.snowwind.decide.limit.RateGrant;
-import org.snowwind.decide.notice.ReturnPace;
+import org.snowwind.decide.notice.RampUp;
 import org.snowwind.decide.notice.ServerNotice;
 import org.snowwind.gateway.registry.BackendEntry;
 import org.snowwind.gateway.registry.BackendRun;
@@ -186,7 +186,7 @@
 		long nowMillis = this.clock.nowMillis();
 		backend.sent(nowMillis);
 		backend.onResponseHead(new ServerNotice(AnnouncedLimit.NONE, retryAfterMillis, false, ""),
-				new BackendNotices.Source("test", false, nowMillis), ReturnPace.AT_ONCE, nowMillis);
+				new BackendNotices.Source("test", false, nowMillis), RampUp.UNRESTRICTED, nowMillis);
 		backend.refused(nowMillis);
 	}
 
--- a/gateway/src/test/java/org/snowwind/gateway/backend/ReturnModel.java
+++ b/gateway/src/test/java/org/snowwind/gateway/backend/ReturnModel.java
@@ -13,7 +13,7 @@
 import java.util.stream.IntStream;
 
 import org.snowwind.decide.limit.AnnouncedLimit;
-import org.snowwind.decide.notice.ReturnPace;
+import org.snowwind.decide.notice.RampUp;
 import org.snowwind.decide.notice.ServerNotice;
 import org.snowwind.gateway.registry.BackendEntry;
 import org.snowwind.gateway.registry.BackendRun;
@@ -154,7 +154,7 @@
 			this.tables.get(work.call.gateway).onResponseHead(work.backend, notice, source);
 		}
 		else {
-			work.backend.onResponseHead(notice, source, ReturnPace.AT_ONCE, this.clock.nowMillis());
+			work.backend.onResponseHead(notice, source, RampUp.UNRESTRICTED, this.clock.nowMillis());
 		}
 		dispatch(work.call);
 	}
--- a/gateway/src/test/java/org/snowwind/gateway/expert/HoldingsTests.java
+++ b/gateway/src/test/java/org/snowwind/gateway/expert/HoldingsTests.java
@@ -26,7 +26,7 @@
 	private static final EngineProfile PROFILE = new EngineProfile(8, 300_000, 6, 5, 0.5, 0.01, 70_000, SETS, EXPERTS,
 			PLACES, 2, 1700, 92_000, 0.85);
 
-	private final ExpertPlacement byTurns = ExpertPlacement.byTurns(SETS, EXPERTS, RANKS, PLACES);
+	private final ExpertPlacement byTurns = ExpertPlacement.roundRobin(SETS, EXPERTS, RANKS, PLACES);
 
 	private static List<List<List<Integer>>> byRank(List<List<List<Integer>>> bySetAndRank) {
 		List<List<List<Integer>>> byRank = new ArrayList<>();
--- a/gateway/src/test/java/org/snowwind/gateway/stop/GracefulStopTests.java
+++ b/gateway/src/test/java/org/snowwind/gateway/stop/GracefulStopTests.java
@@ -21,7 +21,7 @@
 	private final StopSchedule schedule = GracefulStop.plan(this.clock.nowMillis(), GRACE_MILLIS);
 
 	private boolean takes(long allowedMillis) {
-		return this.schedule.takes(this.clock.nowMillis(), this.clock.nowMillis() + allowedMillis);
+		return this.schedule.accepts(this.clock.nowMillis(), this.clock.nowMillis() + allowedMillis);
 	}
 
 	@Test
@@ -53,8 +53,8 @@
 	void aGraceThatIsShorterThanTheBalancerNeedsStillHasOneEnd() {
 		StopSchedule brief = GracefulStop.plan(0, 2000);
 		assertThat(brief).isEqualTo(new StopSchedule(0, 1300, 1200, 1300));
-		assertThat(brief.takes(1299, 9000)).isTrue();
-		assertThat(brief.takes(1300, 1301)).isFalse();
+		assertThat(brief.accepts(1299, 9000)).isTrue();
+		assertThat(brief.accepts(1300, 1301)).isFalse();
 	}
 
 	@Test
@@ -65,10 +65,10 @@
 	@Test
 	void whatIsLeftNeverFallsBelowNothing() {
 		this.clock.advance(7000);
-		assertThat(this.schedule.leftMillis(this.clock.nowMillis())).isEqualTo(300);
+		assertThat(this.schedule.remainingMillis(this.clock.nowMillis())).isEqualTo(300);
 		assertThat(this.schedule.elapsedMillis(this.clock.nowMillis())).isEqualTo(7000);
 		this.clock.advance(7000);
-		assertThat(this.schedule.leftMillis(this.clock.nowMillis())).isZero();
+		assertThat(this.schedule.remainingMillis(this.clock.nowMillis())).isZero();
 	}
 
 }
--- a/standin/src/main/java/org/snowwind/standin/StandInRankGroup.java
+++ b/standin/src/main/java/org/snowwind/standin/StandInRankGroup.java
@@ -145,7 +145,7 @@
 	private void obey(HttpExchange exchange, int rank, byte[] body) {
 		try {
 			OrderMessage message = Json.MAPPER.readValue(body, OrderMessage.class);
-			RankState state = this.ranks.get(rank).on(message.toOrder());
+			RankState state = this.ranks.get(rank).handle(message.toOrder());
 			boolean answerLost = this.random.nextDouble() < this.faults.lostShare();
 			if (answerLost) {
 				exchange.abort();
