--- a/gateway/src/main/java/org/snowwind/gateway/GatewayDaemon.java
+++ b/gateway/src/main/java/org/snowwind/gateway/GatewayDaemon.java
@@ -240,7 +240,7 @@
 	}
 
 	private RequestContext newContext() {
-		RetryBudgets.RetryBound bound = new RetryBudgets.RetryBound(this.settings.retryFraction(),
+		RetryBudgets.RetryLimit bound = new RetryBudgets.RetryLimit(this.settings.retryFraction(),
 				this.settings.retryExtra(), this.settings.retryWindowMillis());
 		RetryBudgets budgets = new RetryBudgets(bound, this::fleetSize, this.clock, this.clock.nowMillis());
 		return new RequestContext(this.loop, this.client, this.adapters.dialect(), this.backends,
@@ -253,7 +253,7 @@
 	}
 
 	private void registerMeters(MeterRegistry registry) {
-		Gauge.builder("snowwind.gateway.open.requests", this.handler, GatewayHandler::open).register(registry);
+		Gauge.builder("snowwind.gateway.open.requests", this.handler, GatewayHandler::openRequestCount).register(registry);
 		this.copies.registerMeters(registry);
 		Gauge.builder("snowwind.gateway.requests.suspected", () -> this.suspects.view().suspects().size())
 			.register(registry);
@@ -311,9 +311,9 @@
 		long suspendedMillis = this.clock.suspendedMillis();
 		if (suspendedMillis != this.seenSuspendedMillis) {
 			EventLog.log(Event.OWN_SUSPENSION, "suspendedMillis", suspendedMillis - this.seenSuspendedMillis,
-					"openRequests", this.handler.open());
+					"openRequests", this.handler.openRequestCount());
 			this.seenSuspendedMillis = suspendedMillis;
-			this.handler.timePassedUnseen();
+			this.handler.resetDeadlines();
 			this.adapters.store().giveUpCalls();
 		}
 	}
@@ -430,7 +430,7 @@
 		@Override
 		public int count() {
 			// A loop that does not answer may still have some open.
-			return GatewayDaemon.this.loop.ask(GatewayDaemon.this.handler::open, 1);
+			return GatewayDaemon.this.loop.ask(GatewayDaemon.this.handler::openRequestCount, 1);
 		}
 
 		@Override
--- a/gateway/src/main/java/org/snowwind/gateway/request/Attempt.java
+++ b/gateway/src/main/java/org/snowwind/gateway/request/Attempt.java
@@ -41,7 +41,7 @@
 
 	private long receivedBytes;
 
-	private AnswerBuffer response;
+	private ResponseBuffer response;
 
 	private final EventTimes eventTimes;
 
@@ -88,9 +88,9 @@
 		this.idleTimeoutMillis = timeouts.idleMillis();
 		this.timeoutTimer = this.context.loop()
 			.later(() -> abort("no response head within the timeout"), timeouts.firstByteMillis());
-		AttemptHead attemptMetadata = new AttemptHead(this.backend.id(), remainingMillis, this.request.organisation(),
+		AttemptMetadata attemptMetadata = new AttemptMetadata(this.backend.id(), remainingMillis, this.request.organisation(),
 				this.afterId, this.request.host());
-		Map<String, String> headers = this.context.dialect().toBackend(this.request.headers(), attemptMetadata);
+		Map<String, String> headers = this.context.dialect().backendRequestHeaders(this.request.headers(), attemptMetadata);
 		String url = "http://" + this.backend.entry().address() + this.request.target();
 		this.call = this.context.client()
 			.send(new UpstreamRequest(this.request.method(), url, headers, this.request.body()), this);
@@ -132,7 +132,7 @@
 	 * Returns the part of the response that has arrived.
 	 * @return the buffered response; {@code null} before the head of a credible response
 	 */
-	AnswerBuffer response() {
+	ResponseBuffer response() {
 		return this.response;
 	}
 
@@ -182,17 +182,17 @@
 		}
 		this.status = answerStatus;
 		this.context.suspects().heard(this.backend.entry().run());
-		AnswerHead metadata = this.context.dialect().readAnswer(answerStatus, headers);
+		ResponseMetadata metadata = this.context.dialect().readResponse(answerStatus, headers);
 		recordNotice(metadata);
-		if (metadata.refused()) {
-			if (metadata.elsewhere()) {
+		if (metadata.rejected()) {
+			if (metadata.fromOtherInstance()) {
 				this.backend.replaced();
 			}
 			cancelCall();
 			finish(AttemptEnd.REFUSED);
 			return;
 		}
-		if (!metadata.credible(answerStatus, this.request.id())) {
+		if (!metadata.isCredible(answerStatus, this.request.id())) {
 			abort("the response is not a valid response to this request");
 			return;
 		}
@@ -207,18 +207,18 @@
 
 	// Another server at the address, or a response to another request, says nothing about
 	// the current state of this server.
-	private void recordNotice(AnswerHead metadata) {
-		if (!metadata.elsewhere() && !metadata.toAnotherThan(this.request.id())) {
+	private void recordNotice(ResponseMetadata metadata) {
+		if (!metadata.fromOtherInstance() && !metadata.answersOtherRequest(this.request.id())) {
 			this.context.backends()
 				.onResponseHead(this.backend, metadata.notice(),
 						new BackendNotices.Source(this.request.id(), metadata.signed(), this.sentMillis));
 		}
 	}
 
-	private AnswerBuffer bufferFor(int answerStatus, Map<String, String> headers) {
-		boolean stream = this.request.route().repeat() == Repeat.STREAM && answerStatus == AnswerBuffer.OK;
-		return stream ? AnswerBuffer.ofStream(headers, this.afterId)
-				: AnswerBuffer.ofPlainResponse(answerStatus, headers);
+	private ResponseBuffer bufferFor(int answerStatus, Map<String, String> headers) {
+		boolean stream = this.request.route().repeat() == Repeat.STREAM && answerStatus == ResponseBuffer.OK;
+		return stream ? ResponseBuffer.ofStream(headers, this.afterId)
+				: ResponseBuffer.ofPlainResponse(answerStatus, headers);
 	}
 
 	@Override
--- a/gateway/src/main/java/org/snowwind/gateway/request/AttemptListener.java
+++ b/gateway/src/main/java/org/snowwind/gateway/request/AttemptListener.java
@@ -14,7 +14,7 @@
 	 * Called when the head of a credible response has arrived.
 	 * @param response the response, with an empty body
 	 */
-	void onResponseStart(AnswerBuffer response);
+	void onResponseStart(ResponseBuffer response);
 
 	/**
 	 * Called when complete events of a stream have arrived that the caller does not have.
--- a/gateway/src/main/java/org/snowwind/gateway/request/BackendDialect.java
+++ b/gateway/src/main/java/org/snowwind/gateway/request/BackendDialect.java
@@ -13,7 +13,7 @@
 	 * @param headers the request headers by lower-case name
 	 * @return the metadata
 	 */
-	CallerHead readCaller(Map<String, String> headers);
+	RequestMetadata readRequest(Map<String, String> headers);
 
 	/**
 	 * Creates the request headers of an attempt. They consist of the caller's headers,
@@ -23,7 +23,7 @@
 	 * @param attempt the metadata for the backend server
 	 * @return the headers
 	 */
-	Map<String, String> toBackend(Map<String, String> callerHeaders, AttemptHead attempt);
+	Map<String, String> backendRequestHeaders(Map<String, String> callerHeaders, AttemptMetadata attempt);
 
 	/**
 	 * Reads the metadata of a backend server's response.
@@ -31,7 +31,7 @@
 	 * @param headers the response headers by lower-case name
 	 * @return the metadata
 	 */
-	AnswerHead readAnswer(int status, Map<String, String> headers);
+	ResponseMetadata readResponse(int status, Map<String, String> headers);
 
 	/**
 	 * Creates the headers by which a caller recognises a response that the gateway itself
@@ -39,6 +39,6 @@
 	 * @param requestId the caller's id of its request, may be {@code null}
 	 * @return the headers
 	 */
-	Map<String, String> ownAnswer(String requestId);
+	Map<String, String> gatewayResponseHeaders(String requestId);
 
 }
--- a/gateway/src/main/java/org/snowwind/gateway/request/CallerRequest.java
+++ b/gateway/src/main/java/org/snowwind/gateway/request/CallerRequest.java
@@ -23,7 +23,7 @@
  * @param tableVersion the version of the route table that was used
  * @param arrivedMillis when the request head arrived, in milliseconds
  */
-record CallerRequest(CallerHead metadata, String method, String target, String host, Map<String, String> headers,
+record CallerRequest(RequestMetadata metadata, String method, String target, String host, Map<String, String> headers,
 		byte[] body, Route route, ServiceEntry destination, String organisation, long tableVersion,
 		long arrivedMillis) {
 
--- a/gateway/src/main/java/org/snowwind/gateway/request/ErrorResponses.java
+++ b/gateway/src/main/java/org/snowwind/gateway/request/ErrorResponses.java
@@ -28,7 +28,7 @@
 	 * @param problem the problem to report
 	 */
 	static void send(HttpExchange exchange, BackendDialect dialect, String requestId, Problem problem) {
-		Map<String, String> headers = new LinkedHashMap<>(dialect.ownAnswer(requestId));
+		Map<String, String> headers = new LinkedHashMap<>(dialect.gatewayResponseHeaders(requestId));
 		headers.put("Content-Type", "application/json");
 		headers.put("Cache-Control", "no-store");
 		headers.put(Disclosure.HEADER, problem.disclosure().headerValue());
--- a/gateway/src/main/java/org/snowwind/gateway/request/EventStream.java
+++ b/gateway/src/main/java/org/snowwind/gateway/request/EventStreamParser.java
@@ -14,7 +14,7 @@
  * the bytes of an incomplete event are discarded with the attempt and need not be cleared
  * on any path that leads to the next attempt.
  */
-final class EventStream {
+final class EventStreamParser {
 
 	private static final byte LINE_FEED = '\n';
 
@@ -30,7 +30,7 @@
 
 	private final ByteArrayOutputStream line = new ByteArrayOutputStream();
 
-	private final CatchUp replayFilter;
+	private final ReplayFilter replayFilter;
 
 	private String eventId;
 
@@ -43,8 +43,8 @@
 	 * @param afterId id of the event after which the stream continues; {@code null} to
 	 * start at the beginning
 	 */
-	EventStream(String afterId) {
-		this.replayFilter = new CatchUp(afterId);
+	EventStreamParser(String afterId) {
+		this.replayFilter = new ReplayFilter(afterId);
 	}
 
 	/**
--- a/gateway/src/main/java/org/snowwind/gateway/request/GatewayHandler.java
+++ b/gateway/src/main/java/org/snowwind/gateway/request/GatewayHandler.java
@@ -83,7 +83,7 @@
 	 * Returns the number of open requests.
 	 * @return the number of open requests
 	 */
-	public int open() {
+	public int openRequestCount() {
 		return this.openRequests.size();
 	}
 
@@ -116,7 +116,7 @@
 	 * timers did not run, for example while the VM was suspended. Requests whose deadline
 	 * has passed end at once.
 	 */
-	public void timePassedUnseen() {
+	public void resetDeadlines() {
 		List.copyOf(this.openRequests)
 			.stream()
 			.filter((request) -> request.relay != null)
@@ -127,7 +127,7 @@
 	public void handle(HttpExchange exchange) {
 		long arrivedMillis = this.context.clock().nowMillis();
 		Map<String, String> headers = exchange.headers();
-		CallerHead metadata = this.context.dialect().readCaller(headers);
+		RequestMetadata metadata = this.context.dialect().readRequest(headers);
 		OpenRequest openRequest = new OpenRequest(exchange, metadata, arrivedMillis);
 		this.openRequests.add(openRequest);
 		exchange.onGone(openRequest::markEnded);
@@ -177,7 +177,7 @@
 		return !accepted;
 	}
 
-	private RoutingResult route(HttpExchange exchange, CallerHead metadata, RouteTable table) {
+	private RoutingResult route(HttpExchange exchange, RequestMetadata metadata, RouteTable table) {
 		if (table.version() == 0) {
 			return RoutingResult.rejected(Problem.notRun(ProblemKind.NOT_READY, "no configuration is known yet")
 				.retryAfter(NOT_READY_RETRY_AFTER_MILLIS));
@@ -186,7 +186,7 @@
 		if (route.isEmpty()) {
 			return rejectByTable(ProblemKind.UNKNOWN_PATH, "no route matches this host and path");
 		}
-		Optional<KeyHolder> holder = (metadata.key() != null) ? table.holderOf(metadata.key()) : Optional.empty();
+		Optional<KeyHolder> holder = (metadata.apiKey() != null) ? table.holderOf(metadata.apiKey()) : Optional.empty();
 		boolean keyRequired = table.keysNeeded() && !route.get().open();
 		if (keyRequired && holder.isEmpty()) {
 			return rejectByTable(ProblemKind.UNKNOWN_ORGANISATION, "no organisation has this key");
@@ -203,7 +203,7 @@
 				.retryAfter(this.freshness.retryMillis()));
 	}
 
-	private void reject(HttpExchange exchange, CallerHead metadata, RouteTable table, Problem problem,
+	private void reject(HttpExchange exchange, RequestMetadata metadata, RouteTable table, Problem problem,
 			OpenRequest openRequest) {
 		TableFreshness.State freshness = this.freshness.state();
 		EventLog.log(Event.REQUEST_REFUSED, "request", metadata.requestId(), "kind", problem.kind().code(), "table",
@@ -213,7 +213,7 @@
 		ErrorResponses.send(exchange, this.context.dialect(), metadata.requestId(), problem);
 	}
 
-	private void logDuringStop(Event event, HttpExchange exchange, CallerHead metadata, long deadlineMillis) {
+	private void logDuringStop(Event event, HttpExchange exchange, RequestMetadata metadata, long deadlineMillis) {
 		long nowMillis = this.context.clock().nowMillis();
 		ConnectionUse connection = exchange.connection();
 		EventLog.log(event, "request", metadata.requestId(), "afterMillis", this.stop.elapsedMillis(nowMillis),
@@ -225,7 +225,7 @@
 	private void logRouted(CallerRequest request) {
 		EventLog.log(Event.REQUEST_ROUTED, "request", request.id(), "route", request.route().name(), "service",
 				request.service(), "organisation", request.organisation(), "table", request.tableVersion(),
-				"patienceMillis", request.metadata().patienceMillis(), "promptTokens",
+				"patienceMillis", request.metadata().timeoutMillis(), "promptTokens",
 				request.metadata().promptTokens(), "bodyBytes", request.body().length, "targetMillis",
 				request.route().targetMillis(), "pauseTargetMillis", request.route().pauseTargetMillis());
 	}
@@ -254,14 +254,14 @@
 
 		private final HttpExchange exchange;
 
-		private final CallerHead metadata;
+		private final RequestMetadata metadata;
 
 		private final long arrivedMillis;
 
 		/** The relay of the request; {@code null} until the whole request is read. */
 		private Relay relay;
 
-		private OpenRequest(HttpExchange exchange, CallerHead metadata, long arrivedMillis) {
+		private OpenRequest(HttpExchange exchange, RequestMetadata metadata, long arrivedMillis) {
 			this.exchange = exchange;
 			this.metadata = metadata;
 			this.arrivedMillis = arrivedMillis;
@@ -298,7 +298,7 @@
 			StopSchedule schedule = GatewayHandler.this.stop;
 			EventLog.log(Event.CUT_OFF_IN_STOP, "request", this.metadata.requestId(), "takenAfterMillis",
 					schedule.elapsedMillis(this.arrivedMillis), "openMillis", nowMillis - this.arrivedMillis, "begun",
-					this.exchange.begun(), "patienceMillis", this.metadata.patienceMillis());
+					this.exchange.begun(), "patienceMillis", this.metadata.timeoutMillis());
 		}
 
 	}
--- a/gateway/src/main/java/org/snowwind/gateway/request/Relay.java
+++ b/gateway/src/main/java/org/snowwind/gateway/request/Relay.java
@@ -270,7 +270,7 @@
 
 	@Override
 	public void finish(Disclosure disclosure, ProblemKind kind) {
-		AnswerBuffer response = response();
+		ResponseBuffer response = response();
 		if (kind == null) {
 			this.suspicion.recordAnswered();
 		}
@@ -291,11 +291,11 @@
 		}
 	}
 
-	private AnswerBuffer response() {
+	private ResponseBuffer response() {
 		return (this.attempt != null) ? this.attempt.response() : null;
 	}
 
-	private void deliver(AnswerBuffer response) {
+	private void deliver(ResponseBuffer response) {
 		if (this.exchange.begun()) {
 			this.exchange.end();
 		}
@@ -344,7 +344,7 @@
 	// ---- events
 
 	@Override
-	public void onResponseStart(AnswerBuffer response) {
+	public void onResponseStart(ResponseBuffer response) {
 		if (this.exchange.begun() && !(response.isStream() && response.mediaType().equals(this.mediaType))) {
 			this.attempt.abort("the response does not continue the stream");
 			return;
@@ -416,7 +416,7 @@
 		if (end != AttemptEnd.ANSWERED) {
 			return end;
 		}
-		AnswerBuffer response = response();
+		ResponseBuffer response = response();
 		if (response.isStream()) {
 			boolean broken = response.isIncomplete() || !this.exchange.begun();
 			return broken ? AttemptEnd.BEGAN_THEN_BROKE : AttemptEnd.ANSWERED;
--- a/gateway/src/main/java/org/snowwind/gateway/request/CatchUp.java
+++ b/gateway/src/main/java/org/snowwind/gateway/request/ReplayFilter.java
@@ -11,7 +11,7 @@
  * Events are only dropped at the beginning of an attempt's stream. Once the stream has
  * passed the caller's position, every event is passed on, even if ids repeat or decrease.
  */
-final class CatchUp {
+final class ReplayFilter {
 
 	private final String afterId;
 
@@ -29,7 +29,7 @@
 	 * Creates the filter for an attempt's stream.
 	 * @param afterId id of the last event that the caller has; {@code null} for none
 	 */
-	CatchUp(String afterId) {
+	ReplayFilter(String afterId) {
 		this.afterId = afterId;
 		this.caughtUp = afterId == null;
 	}
--- a/gateway/src/main/java/org/snowwind/gateway/request/CallerHead.java
+++ b/gateway/src/main/java/org/snowwind/gateway/request/RequestMetadata.java
@@ -6,16 +6,16 @@
  * Metadata that a caller sends in the headers of its request.
  *
  * @param requestId the caller's id of this attempt; {@code null} if it sent none
- * @param patienceMillis how long the caller waits for the response, in milliseconds; -1
+ * @param timeoutMillis how long the caller waits for the response, in milliseconds; -1
  * if it sent no timeout
- * @param key the API key of the caller's organisation; {@code null} if it sent none
+ * @param apiKey the API key of the caller's organisation; {@code null} if it sent none
  * @param lastEventId id of the last event of the stream that the caller has; {@code null}
  * to start at the beginning
  * @param promptTokens the number of tokens of the prompt; 0 if it is not known
  * @param maxOutputTokens the maximum number of tokens to generate; 0 if the caller sent
  * no maximum
  */
-public record CallerHead(String requestId, long patienceMillis, String key, String lastEventId, int promptTokens,
+public record RequestMetadata(String requestId, long timeoutMillis, String apiKey, String lastEventId, int promptTokens,
 		int maxOutputTokens) {
 
 	/**
@@ -25,7 +25,7 @@
 	 * milliseconds
 	 */
 	long allowedMillis(Route route) {
-		return (this.patienceMillis >= 0) ? Math.min(this.patienceMillis, route.timeoutMillis())
+		return (this.timeoutMillis >= 0) ? Math.min(this.timeoutMillis, route.timeoutMillis())
 				: route.timeoutMillis();
 	}
 
--- a/gateway/src/main/java/org/snowwind/gateway/request/AnswerBuffer.java
+++ b/gateway/src/main/java/org/snowwind/gateway/request/ResponseBuffer.java
@@ -18,7 +18,7 @@
  * event is held. The buffer is created with the response head of an attempt and discarded
  * with the attempt, so that none of its content can reach the response of another server.
  */
-final class AnswerBuffer {
+final class ResponseBuffer {
 
 	/** HTTP status 200. */
 	static final int OK = 200;
@@ -31,13 +31,13 @@
 
 	private final Map<String, String> headers;
 
-	private final EventStream parser;
+	private final EventStreamParser parser;
 
 	private final ByteArrayOutputStream body = new ByteArrayOutputStream();
 
 	private boolean complete;
 
-	private AnswerBuffer(int status, Map<String, String> headers, EventStream events) {
+	private ResponseBuffer(int status, Map<String, String> headers, EventStreamParser events) {
 		this.status = status;
 		this.headers = Map.copyOf(headers);
 		this.parser = events;
@@ -49,8 +49,8 @@
 	 * @param headers the headers by lower-case name
 	 * @return the buffer, with an empty body
 	 */
-	static AnswerBuffer ofPlainResponse(int status, Map<String, String> headers) {
-		return new AnswerBuffer(status, headers, null);
+	static ResponseBuffer ofPlainResponse(int status, Map<String, String> headers) {
+		return new ResponseBuffer(status, headers, null);
 	}
 
 	/**
@@ -62,10 +62,10 @@
 	 * start at the beginning
 	 * @return the buffer, without events
 	 */
-	static AnswerBuffer ofStream(Map<String, String> headers, String afterId) {
+	static ResponseBuffer ofStream(Map<String, String> headers, String afterId) {
 		Map<String, String> withoutLength = new HashMap<>(headers);
 		withoutLength.remove(LENGTH_HEADER);
-		return new AnswerBuffer(OK, withoutLength, new EventStream(afterId));
+		return new ResponseBuffer(OK, withoutLength, new EventStreamParser(afterId));
 	}
 
 	int status() {
--- a/gateway/src/main/java/org/snowwind/gateway/request/AnswerHead.java
+++ b/gateway/src/main/java/org/snowwind/gateway/request/ResponseMetadata.java
@@ -5,8 +5,8 @@
 /**
  * Metadata that a backend server sends in the headers of a response.
  *
- * @param refused whether the server promises that it did not run the request
- * @param elsewhere whether the response does not come from the server incarnation that
+ * @param rejected whether the server promises that it did not run the request
+ * @param fromOtherInstance whether the response does not come from the server incarnation that
  * was addressed
  * @param signed whether the response carries the server's signature
  * @param requestId the id of the request that the response belongs to; {@code null} if it
@@ -16,7 +16,7 @@
  * @param notice the server's announcements about its availability, such as rate limits or
  * its shutdown
  */
-public record AnswerHead(boolean refused, boolean elsewhere, boolean signed, String requestId, boolean encoded,
+public record ResponseMetadata(boolean rejected, boolean fromOtherInstance, boolean signed, String requestId, boolean encoded,
 		ServerNotice notice) {
 
 	private static final int OK = 200;
@@ -28,7 +28,7 @@
 	 * @param expectedId the request's id, may be {@code null}
 	 * @return true if both ids are present and differ
 	 */
-	public boolean toAnotherThan(String expectedId) {
+	public boolean answersOtherRequest(String expectedId) {
 		return this.requestId != null && expectedId != null && !this.requestId.equals(expectedId);
 	}
 
@@ -38,9 +38,9 @@
 	 * @param expectedId the request's id, may be {@code null}
 	 * @return false if the response must not be passed on
 	 */
-	public boolean credible(int status, String expectedId) {
+	public boolean isCredible(int status, String expectedId) {
 		boolean success = status >= OK && status < REDIRECT;
-		return !toAnotherThan(expectedId) && !this.encoded && (this.signed || !success);
+		return !answersOtherRequest(expectedId) && !this.encoded && (this.signed || !success);
 	}
 
 }
--- a/gateway/src/main/java/org/snowwind/gateway/request/RetryBudgets.java
+++ b/gateway/src/main/java/org/snowwind/gateway/request/RetryBudgets.java
@@ -14,7 +14,7 @@
 
 	private final Map<String, WindowedRetryBudget> byService = new HashMap<>();
 
-	private final RetryBound bound;
+	private final RetryLimit bound;
 
 	private final IntSupplier processes;
 
@@ -30,7 +30,7 @@
 	 * @param clock the monotonic clock
 	 * @param startedMillis when this process was started, in milliseconds
 	 */
-	public RetryBudgets(RetryBound bound, IntSupplier processes, MonotonicClock clock, long startedMillis) {
+	public RetryBudgets(RetryLimit bound, IntSupplier processes, MonotonicClock clock, long startedMillis) {
 		this.bound = bound;
 		this.processes = processes;
 		this.clock = clock;
@@ -67,7 +67,7 @@
 	 * @param extra further retries that are allowed in each window
 	 * @param windowMillis the length of the window, in milliseconds
 	 */
-	public record RetryBound(double fraction, int extra, long windowMillis) {
+	public record RetryLimit(double fraction, int extra, long windowMillis) {
 
 	}
 
--- a/gateway/src/main/java/org/snowwind/gateway/request/StreamPosition.java
+++ b/gateway/src/main/java/org/snowwind/gateway/request/StreamPosition.java
@@ -40,9 +40,9 @@
 	// A decreasing id is not adopted: the caller has later events, which a stream that
 	// continues after that id would repeat.
 	private void advanceTo(String id) {
-		if (this.lastId == null || CatchUp.isAfter(id, this.lastId)) {
+		if (this.lastId == null || ReplayFilter.isAfter(id, this.lastId)) {
 			this.lastId = id;
-			this.exact = CatchUp.isNumeric(id);
+			this.exact = ReplayFilter.isNumeric(id);
 		}
 		else if (!id.equals(this.lastId)) {
 			this.exact = false;
--- a/gateway/src/test/java/org/snowwind/gateway/request/EventStreamTests.java
+++ b/gateway/src/test/java/org/snowwind/gateway/request/EventStreamParserTests.java
@@ -14,11 +14,11 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Tests for {@link EventStream}.
+ * Tests for {@link EventStreamParser}.
  */
-class EventStreamTests {
+class EventStreamParserTests {
 
-	private static String parse(EventStream parser, String text) {
+	private static String parse(EventStreamParser parser, String text) {
 		return joined(parser.parse(text.getBytes(StandardCharsets.UTF_8))).toString(StandardCharsets.UTF_8);
 	}
 
@@ -28,7 +28,7 @@
 		return joined;
 	}
 
-	private static List<String> idsOf(EventStream parser, String text) {
+	private static List<String> idsOf(EventStreamParser parser, String text) {
 		return parser.parse(text.getBytes(StandardCharsets.UTF_8)).stream().map(StreamEvent::id).toList();
 	}
 
@@ -42,7 +42,7 @@
 
 	@Test
 	void onlyCompleteEventsAreReturned() {
-		EventStream parser = new EventStream(null);
+		EventStreamParser parser = new EventStreamParser(null);
 		assertThat(parse(parser, "id: 1\nda")).isEmpty();
 		assertThat(parse(parser, "ta: a\n\nid: 2\n")).isEqualTo("id: 1\ndata: a\n\n");
 		assertThat(parser.isIncomplete()).isTrue();
@@ -51,26 +51,26 @@
 
 	@Test
 	void idOfEachEventIsParsed() {
-		assertThat(idsOf(new EventStream(null), events(1, 2))).containsExactly("1", "2");
+		assertThat(idsOf(new EventStreamParser(null), events(1, 2))).containsExactly("1", "2");
 	}
 
 	@Test
 	void emptyIdIsTreatedAsMissing() {
-		assertThat(idsOf(new EventStream(null), "id:\ndata: a\n\n")).containsOnlyNulls().hasSize(1);
+		assertThat(idsOf(new EventStreamParser(null), "id:\ndata: a\n\n")).containsOnlyNulls().hasSize(1);
 	}
 
 	@Test
 	void dataIsDistinguishedFromComments() {
 		byte[] bytes = "data: a\n\n: still here\n\ndata\n\n".getBytes(StandardCharsets.UTF_8);
-		assertThat(new EventStream(null).parse(bytes)).extracting(StreamEvent::hasData)
+		assertThat(new EventStreamParser(null).parse(bytes)).extracting(StreamEvent::hasData)
 			.containsExactly(true, false, true);
 	}
 
 	@Test
 	void partialEventDoesNotLeakIntoTheNextAttemptsStream() {
-		EventStream broken = new EventStream(null);
+		EventStreamParser broken = new EventStreamParser(null);
 		assertThat(parse(broken, events(1, 2) + "id: 3\ndata: ha")).isEqualTo(events(1, 2));
-		EventStream next = new EventStream("2");
+		EventStreamParser next = new EventStreamParser("2");
 		assertThat(parse(next, events(3, 3))).isEqualTo(events(3, 3));
 		assertThat(next.isIncomplete()).isFalse();
 		assertThat(broken.isIncomplete()).isTrue();
@@ -79,21 +79,21 @@
 	@Test
 	void deliveredEventIsNotRepeatedByTheNextAttempt() {
 		StreamPosition position = new StreamPosition(null);
-		EventStream first = new EventStream(position.lastId());
+		EventStreamParser first = new EventStreamParser(position.lastId());
 		first.parse(events(1, 3).getBytes(StandardCharsets.UTF_8)).forEach(position::recordDelivered);
-		EventStream second = new EventStream(position.lastId());
+		EventStreamParser second = new EventStreamParser(position.lastId());
 		assertThat(parse(second, events(2, 5))).isEqualTo(events(4, 5));
 	}
 
 	@Test
 	void eventWithTheLastIdIsNotReturned() {
-		EventStream parser = new EventStream("7");
+		EventStreamParser parser = new EventStreamParser("7");
 		assertThat(parse(parser, events(7, 8))).isEqualTo(events(8, 8));
 	}
 
 	@Test
 	void carriageReturnBeforeLineFeedIsAccepted() {
-		EventStream parser = new EventStream(null);
+		EventStreamParser parser = new EventStreamParser(null);
 		assertThat(parse(parser, "id: 1\r\ndata: a\r\n\r\n")).isEqualTo("id: 1\r\ndata: a\r\n\r\n");
 		assertThat(idsOf(parser, "id: 2\r\ndata: b\r\n\r\n")).containsExactly("2");
 	}
@@ -102,7 +102,7 @@
 	void parsingDoesNotDependOnHowBytesAreSplit(@ForAll Random random,
 			@ForAll @IntRange(min = 0, max = 12) int events) {
 		byte[] whole = events(1, events).getBytes(StandardCharsets.UTF_8);
-		EventStream parser = new EventStream(null);
+		EventStreamParser parser = new EventStreamParser(null);
 		StreamPosition position = new StreamPosition(null);
 		ByteArrayOutputStream delivered = new ByteArrayOutputStream();
 		int at = 0;
--- a/gateway/src/test/java/org/snowwind/gateway/request/GatewayFixture.java
+++ b/gateway/src/test/java/org/snowwind/gateway/request/GatewayFixture.java
@@ -91,7 +91,7 @@
 	private final InetSocketAddress address;
 
 	GatewayFixture() {
-		RetryBudgets budgets = new RetryBudgets(new RetryBudgets.RetryBound(0, 100, 10_000), () -> 1, this.clock,
+		RetryBudgets budgets = new RetryBudgets(new RetryBudgets.RetryLimit(0, 100, 10_000), () -> 1, this.clock,
 				this.clock.nowMillis() - 10_000);
 		RequestContext context = new RequestContext(this.loop, this.client, new TestDialect(), this.backends,
 				new Admission(this.backends, this.clock), budgets, suspects(),
@@ -242,7 +242,7 @@
 	/** Advances the clock without running timers, as if the VM was suspended. */
 	void suspend(long millis) {
 		advanceClock(millis);
-		onLoop(this.handler::timePassedUnseen);
+		onLoop(this.handler::resetDeadlines);
 	}
 
 	/** Returns the time of the gateway's clock. */
@@ -256,7 +256,7 @@
 	}
 
 	int openRequests() {
-		return this.loop.ask(this.handler::open, -1);
+		return this.loop.ask(this.handler::openRequestCount, -1);
 	}
 
 	private void onLoop(Runnable task) {
--- a/gateway/src/test/java/org/snowwind/gateway/request/CatchUpTests.java
+++ b/gateway/src/test/java/org/snowwind/gateway/request/ReplayFilterTests.java
@@ -5,22 +5,22 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Tests for {@link CatchUp}.
+ * Tests for {@link ReplayFilter}.
  */
-class CatchUpTests {
+class ReplayFilterTests {
 
 	private static StreamEvent event(String id) {
 		return new StreamEvent(id, true, new byte[0]);
 	}
 
-	private static boolean isNew(CatchUp filter, String id) {
+	private static boolean isNew(ReplayFilter filter, String id) {
 		StreamEvent event = event(id);
 		return filter.filter(event).contains(event);
 	}
 
 	@Test
 	void newStreamIsNotFiltered() {
-		CatchUp filter = new CatchUp(null);
+		ReplayFilter filter = new ReplayFilter(null);
 		assertThat(isNew(filter, "2")).isTrue();
 		assertThat(isNew(filter, "1")).isTrue();
 		assertThat(isNew(filter, null)).isTrue();
@@ -29,7 +29,7 @@
 
 	@Test
 	void deliveredEventsAreNotRepeated() {
-		CatchUp filter = new CatchUp("2");
+		ReplayFilter filter = new ReplayFilter("2");
 		assertThat(isNew(filter, "1")).isFalse();
 		assertThat(isNew(filter, null)).as("data after the first event").isFalse();
 		assertThat(filter.isBehind()).isTrue();
@@ -41,7 +41,7 @@
 
 	@Test
 	void eventsAfterTheCallersPositionAreNotFiltered() {
-		CatchUp filter = new CatchUp("2");
+		ReplayFilter filter = new ReplayFilter("2");
 		assertThat(isNew(filter, "3")).isTrue();
 		assertThat(isNew(filter, "1")).isTrue();
 		assertThat(filter.isBehind()).isFalse();
@@ -49,19 +49,19 @@
 
 	@Test
 	void streamThatContinuesAtTheCallersPositionIsNotBehind() {
-		CatchUp filter = new CatchUp("2");
+		ReplayFilter filter = new ReplayFilter("2");
 		assertThat(filter.isBehind()).isFalse();
 		assertThat(filter.filter(new StreamEvent(null, false, new byte[0]))).as("a comment").hasSize(1);
 	}
 
 	@Test
 	void leadingDataWithoutIdIsHeldUntilTheNextId() {
-		CatchUp continued = new CatchUp("2");
+		ReplayFilter continued = new ReplayFilter("2");
 		assertThat(continued.filter(event(null))).isEmpty();
 		assertThat(continued.isBehind()).as("undecided until the next id").isTrue();
 		assertThat(continued.filter(event("3"))).hasSize(2);
 		assertThat(continued.isBehind()).isFalse();
-		CatchUp restarted = new CatchUp("2");
+		ReplayFilter restarted = new ReplayFilter("2");
 		assertThat(restarted.filter(event(null))).isEmpty();
 		assertThat(restarted.filter(event("1"))).isEmpty();
 		assertThat(restarted.filter(event("2"))).isEmpty();
@@ -70,7 +70,7 @@
 
 	@Test
 	void lastEventWithNonNumericIdIsNotRepeated() {
-		CatchUp filter = new CatchUp("b");
+		ReplayFilter filter = new ReplayFilter("b");
 		assertThat(isNew(filter, "b")).isFalse();
 		assertThat(isNew(filter, "c")).isTrue();
 	}
--- a/gateway/src/test/java/org/snowwind/gateway/request/TestDialect.java
+++ b/gateway/src/test/java/org/snowwind/gateway/request/TestDialect.java
@@ -12,13 +12,13 @@
 final class TestDialect implements BackendDialect {
 
 	@Override
-	public CallerHead readCaller(Map<String, String> headers) {
+	public RequestMetadata readRequest(Map<String, String> headers) {
 		long timeoutMillis = Long.parseLong(headers.getOrDefault("t-patience", "-1"));
-		return new CallerHead(headers.get("t-id"), timeoutMillis, headers.get("t-key"), headers.get("t-last"), 0, 0);
+		return new RequestMetadata(headers.get("t-id"), timeoutMillis, headers.get("t-key"), headers.get("t-last"), 0, 0);
 	}
 
 	@Override
-	public Map<String, String> toBackend(Map<String, String> callerHeaders, AttemptHead attempt) {
+	public Map<String, String> backendRequestHeaders(Map<String, String> callerHeaders, AttemptMetadata attempt) {
 		Map<String, String> headers = new HashMap<>(callerHeaders);
 		headers.keySet()
 			.removeAll(java.util.Set.of("t-key", "t-organisation", "t-last", "t-patience", "content-length"));
@@ -35,9 +35,9 @@
 	}
 
 	@Override
-	public AnswerHead readAnswer(int status, Map<String, String> headers) {
+	public ResponseMetadata readResponse(int status, Map<String, String> headers) {
 		boolean fromOtherInstance = status == 421;
-		return new AnswerHead(fromOtherInstance || headers.containsKey("t-not-run"), fromOtherInstance,
+		return new ResponseMetadata(fromOtherInstance || headers.containsKey("t-not-run"), fromOtherInstance,
 				headers.containsKey("t-signed"), headers.get("t-id"), headers.containsKey("content-encoding"),
 				readNotice(headers));
 	}
@@ -48,7 +48,7 @@
 	}
 
 	@Override
-	public Map<String, String> ownAnswer(String requestId) {
+	public Map<String, String> gatewayResponseHeaders(String requestId) {
 		return (requestId != null) ? Map.of("t-id", requestId) : Map.of();
 	}
 
