--- a/gateway/src/main/java/org/snowwind/gateway/GatewayDaemon.java
+++ b/gateway/src/main/java/org/snowwind/gateway/GatewayDaemon.java
@@ -202,7 +202,7 @@
 		GroupDirectory groups = new GroupDirectory(this.rankClient, adapters.ranks(), this.limits.calls(),
 				adapters.store(),
 				new GroupDirectory.Sources(() -> this.ungrouped, this::registeredRuns, this::plansExperts),
-				(run, group) -> this.loop.run(() -> this.backends.grouped(run, group)), this.clock);
+				(run, group) -> this.loop.run(() -> this.backends.recordGroup(run, group)), this.clock);
 		this.groupThread = new DutyThread("groups", SMALL_RING, GROUPS_MILLIS, groups::round);
 		this.experts = new ExpertDuty(adapters.store(), this.rankClient, adapters.ranks(), this.limits.calls(),
 				this.tables, this.registries, new ExpertDuty.Local(settings.name(), this::shouldPlanExperts,
@@ -268,7 +268,7 @@
 	 * @throws TTransportException if the address for peers cannot be had
 	 */
 	public void start() throws TTransportException {
-		this.registries.onChange((registry) -> this.loop.run(() -> this.backends.use(registry)));
+		this.registries.onChange((registry) -> this.loop.run(() -> this.backends.update(registry)));
 		this.copies.start();
 		this.control = new ThriftServer(this.settings.peers(),
 				new GatewayControl.Processor<>(
@@ -321,7 +321,7 @@
 	private void tell() {
 		noteSuspension();
 		this.inFlight = this.backends.inFlight();
-		this.passJumps = this.backends.passJumps();
+		this.passJumps = this.backends.lastPassJumps();
 		this.limits.tell();
 		this.ungrouped = this.tables.current()
 			.services()
@@ -462,11 +462,11 @@
 
 		@Override
 		public void peersChanged(Map<String, Integer> peersInFlight, double unheardFactor) {
-			GatewayDaemon.this.loop.run(() -> GatewayDaemon.this.backends.peersInFlight(peersInFlight, unheardFactor));
+			GatewayDaemon.this.loop.run(() -> GatewayDaemon.this.backends.updatePeersInFlight(peersInFlight, unheardFactor));
 		}
 
 		@Override
-		public void limitsHeard(List<SharedLimits.Word> words) {
+		public void limitsHeard(List<SharedLimits.LimitAnnouncement> words) {
 			GatewayDaemon.this.limits.heard(words);
 		}
 
--- a/gateway/src/main/java/org/snowwind/gateway/GatewayLimits.java
+++ b/gateway/src/main/java/org/snowwind/gateway/GatewayLimits.java
@@ -54,19 +54,19 @@
 		this.limits = backends.limits();
 		this.clock = parts.clock();
 		this.duty = new LimitDuty(name,
-				new LimitDuty.Local(parts.peers(), parts.leaving(), () -> this.told.wishes(), this::granted),
+				new LimitDuty.LocalGateway(parts.peers(), parts.leaving(), () -> this.told.wishes(), this::granted),
 				parts.thriftCalls(), parts.clock());
 		this.calls = new ServerCalls(parts.registry(),
-				new ServerCalls.Restrictions(() -> this.told.standing(), () -> this.backoffs), this::onNotice,
+				new ServerCalls.Restrictions(() -> this.told.activeLimits(), () -> this.backoffs), this::onNotice,
 				parts.clock());
 		Gauge.builder("snowwind.gateway.servers.backing.off", () -> this.backoffs.size()).register(parts.registry());
-		Gauge.builder("snowwind.gateway.servers.limited", () -> this.told.standing().size()).register(parts.registry());
+		Gauge.builder("snowwind.gateway.servers.limited", () -> this.told.activeLimits().size()).register(parts.registry());
 		Gauge.builder("snowwind.gateway.limits.granted.per.second", () -> this.told.grantedPerSecond())
 			.register(parts.registry());
 	}
 
 	private void granted(List<SharedLimits.Grant> grants, long askedMillis) {
-		this.loop.run(() -> this.limits.granted(grants, askedMillis));
+		this.loop.run(() -> this.limits.applyGrants(grants, askedMillis));
 	}
 
 	private void onNotice(BackendRun run, ServerNotice notice, long sentMillis) {
@@ -89,12 +89,12 @@
 	 * Takes over what a peer has heard.
 	 * @param words words of servers, by the own clock
 	 */
-	void heard(List<SharedLimits.Word> words) {
-		this.loop.run(() -> this.limits.heard(words));
+	void heard(List<SharedLimits.LimitAnnouncement> words) {
+		this.loop.run(() -> this.limits.onPeerAnnouncements(words));
 	}
 
 	List<LimitNews> news() {
-		return LimitMessages.news(this.told.words(), this.clock.nowMillis());
+		return LimitMessages.toMessages(this.told.announcements(), this.clock.nowMillis());
 	}
 
 	LimitDuty duty() {
--- a/gateway/src/main/java/org/snowwind/gateway/backend/Admission.java
+++ b/gateway/src/main/java/org/snowwind/gateway/backend/Admission.java
@@ -40,7 +40,7 @@
 	 * @param service the service's name
 	 * @param tookMillis how long after the request was sent, in milliseconds
 	 */
-	public void began(String service, long tookMillis) {
+	public void onAnswerStart(String service, long tookMillis) {
 		startTime(service).observe(tookMillis);
 	}
 
@@ -82,7 +82,7 @@
 	}
 
 	private Optional<Backend> choose(Arrival arrival) {
-		Wanted requirements = arrival.requirements();
+		ServerRequirements requirements = arrival.requirements();
 		Optional<Backend> untried = this.backends.choose(requirements);
 		boolean allTried = !this.backends.anyUntriedAvailable(arrival.service(), arrival.tried());
 		if (untried.isPresent() || !allTried) {
--- a/gateway/src/main/java/org/snowwind/gateway/backend/Arrival.java
+++ b/gateway/src/main/java/org/snowwind/gateway/backend/Arrival.java
@@ -29,8 +29,8 @@
 		tried = Set.copyOf(tried);
 	}
 
-	Wanted requirements() {
-		return new Wanted(this.service, this.tried, this.maxQueuedAtServer, this.engine, this.pauseTargetMillis);
+	ServerRequirements requirements() {
+		return new ServerRequirements(this.service, this.tried, this.maxQueuedAtServer, this.engine, this.pauseTargetMillis);
 	}
 
 }
--- a/gateway/src/main/java/org/snowwind/gateway/backend/Backend.java
+++ b/gateway/src/main/java/org/snowwind/gateway/backend/Backend.java
@@ -115,7 +115,7 @@
 	/**
 	 * Records that another server answers at the address of this one.
 	 */
-	public void replaced() {
+	public void onReplaced() {
 		this.notices.onLeaving("rejection by another server at its address");
 	}
 
@@ -190,7 +190,7 @@
 	 * Records a request that is sent to the server.
 	 * @param nowMillis the time, in milliseconds
 	 */
-	public void sent(long nowMillis) {
+	public void onSent(long nowMillis) {
 		this.notices.sent(nowMillis);
 		this.inFlight++;
 		this.breaker.recordSent();
@@ -210,7 +210,7 @@
 	 * Records that a stream has begun.
 	 * @param nowMillis the time, in milliseconds
 	 */
-	public void streamBegan(long nowMillis) {
+	public void onStreamStart(long nowMillis) {
 		this.streams++;
 		if (this.group != null) {
 			this.group.streamBegan(nowMillis);
@@ -220,7 +220,7 @@
 	/**
 	 * Records that a stream that had begun has ended.
 	 */
-	public void streamEnded() {
+	public void onStreamEnd() {
 		this.streams--;
 		if (this.group != null) {
 			this.group.removeStreams(1);
@@ -234,7 +234,7 @@
 	 * @param profile the performance of the engines
 	 * @param nowMillis the time, in milliseconds
 	 */
-	public void paused(long pauseMillis, long pauseTargetMillis, EngineProfile profile, long nowMillis) {
+	public void onPause(long pauseMillis, long pauseTargetMillis, EngineProfile profile, long nowMillis) {
 		if (this.group != null && profile != null) {
 			this.group.onPause(pauseMillis, pauseTargetMillis, profile, nowMillis);
 		}
@@ -245,7 +245,7 @@
 	 * @param tookMillis how long the answer took, in milliseconds
 	 * @param nowMillis the time, in milliseconds
 	 */
-	public void answered(long tookMillis, long nowMillis) {
+	public void onAnswer(long tookMillis, long nowMillis) {
 		onRequestEnd();
 		this.breaker.recordSuccess(nowMillis);
 		if (this.ejected) {
@@ -260,7 +260,7 @@
 	 * Records a failed request that counts as a failure of the server.
 	 * @param nowMillis the time, in milliseconds
 	 */
-	public void failed(long nowMillis) {
+	public void onFailure(long nowMillis) {
 		onRequestEnd();
 		this.breaker.recordFailure(nowMillis);
 		recordOutcome(1, nowMillis);
@@ -275,8 +275,8 @@
 	 * it.
 	 * @param nowMillis the time, in milliseconds
 	 */
-	public void unreachable(long nowMillis) {
-		failed(nowMillis);
+	public void onUnreachable(long nowMillis) {
+		onFailure(nowMillis);
 		if (this.group != null) {
 			this.group.onRejection(nowMillis);
 		}
@@ -285,7 +285,7 @@
 	/**
 	 * Records that a request ended without evidence for or against the server.
 	 */
-	public void withdrawn() {
+	public void onInconclusiveEnd() {
 		onRequestEnd();
 		this.breaker.recordWithdrawn();
 	}
@@ -296,8 +296,8 @@
 	 * group.
 	 * @param nowMillis the time, in milliseconds
 	 */
-	public void refused(long nowMillis) {
-		withdrawn();
+	public void onRejection(long nowMillis) {
+		onInconclusiveEnd();
 		boolean hasAnnouncedReason = limit().known().isActive() || this.notices.backoff().isActive(nowMillis);
 		if (this.group != null && !hasAnnouncedReason) {
 			this.group.onRejection(nowMillis);
--- a/gateway/src/main/java/org/snowwind/gateway/backend/BackendTable.java
+++ b/gateway/src/main/java/org/snowwind/gateway/backend/BackendTable.java
@@ -85,7 +85,7 @@
 	 * Applies a new version of the registry.
 	 * @param registry the registry
 	 */
-	public void use(Registry registry) {
+	public void update(Registry registry) {
 		this.revision = registry.revision();
 		List<String> removed = new ArrayList<>(this.byId.keySet());
 		removed.removeAll(registry.servers().keySet());
@@ -186,7 +186,7 @@
 	 * @param service the service's name
 	 * @return its servers, including those that are leaving
 	 */
-	public List<Backend> of(String service) {
+	public List<Backend> serversOf(String service) {
 		return this.byId.values().stream().filter((backend) -> backend.entry().service().equals(service)).toList();
 	}
 
@@ -231,13 +231,13 @@
 	 * @param requirements the requirements
 	 * @return a server with room, empty if none has room
 	 */
-	public Optional<Backend> choose(Wanted requirements) {
+	public Optional<Backend> choose(ServerRequirements requirements) {
 		long nowMillis = this.clock.nowMillis();
 		Optional<Backend> trusted = choose(requirements, nowMillis, true);
 		return trusted.isPresent() ? trusted : choose(requirements, nowMillis, false);
 	}
 
-	private Optional<Backend> choose(Wanted requirements, long nowMillis, boolean trustedOnly) {
+	private Optional<Backend> choose(ServerRequirements requirements, long nowMillis, boolean trustedOnly) {
 		List<Candidate> candidates = new ArrayList<>();
 		Map<GroupLoad, Double> groupRooms = new HashMap<>();
 		for (Backend backend : this.byId.values()) {
@@ -252,15 +252,15 @@
 		return strategyFor(requirements).pick(candidates, this.random);
 	}
 
-	private static GroupLoad groupOf(Backend backend, Wanted requirements) {
+	private static GroupLoad groupOf(Backend backend, ServerRequirements requirements) {
 		return (backend.group() != null && requirements.engine() != null) ? backend.group() : GroupLoad.NONE;
 	}
 
-	private static ServerPick strategyFor(Wanted requirements) {
+	private static ServerPick strategyFor(ServerRequirements requirements) {
 		return (requirements.engine() != null) ? WEIGHTED_RANDOM : LEAST_UTILIZED;
 	}
 
-	private void addIfRoom(List<Candidate> candidates, Backend backend, Wanted requirements, double groupRoom,
+	private void addIfRoom(List<Candidate> candidates, Backend backend, ServerRequirements requirements, double groupRoom,
 			long nowMillis) {
 		BackendView view = backend.view(nowMillis);
 		if (groupRoom > 0 && backend.admits(nowMillis) && view.room(requirements.maxQueuedAtServer()) > 0) {
@@ -276,7 +276,7 @@
 	 * @return the outage, {@link ServiceOutage#NONE} if a server may accept a request
 	 */
 	public ServiceOutage outage(String service) {
-		List<Backend> serving = of(service).stream().filter(Backend::takesNewWork).toList();
+		List<Backend> serving = serversOf(service).stream().filter(Backend::takesNewWork).toList();
 		return ServiceOutage.of(serving, this.clock.nowMillis());
 	}
 
@@ -286,7 +286,7 @@
 	 * @return their entries
 	 */
 	public List<BackendEntry> ungrouped(String service) {
-		return of(service).stream().filter((backend) -> backend.group() == null).map(Backend::entry).toList();
+		return serversOf(service).stream().filter((backend) -> backend.group() == null).map(Backend::entry).toList();
 	}
 
 	/**
@@ -294,7 +294,7 @@
 	 * @param run the incarnation of the server
 	 * @param group the group's name
 	 */
-	public void grouped(BackendRun run, String group) {
+	public void recordGroup(BackendRun run, String group) {
 		find(run.id()).filter((backend) -> backend.entry().run().mayBe(run)).ifPresent((backend) -> {
 			backend.group(this.groups.computeIfAbsent(group, (name) -> new GroupLoad(name, this.groupLimit)),
 					this.clock.nowMillis());
@@ -306,7 +306,7 @@
 	 * Returns when the passes of each group last became suddenly much longer.
 	 * @return times in milliseconds by the group's name, {@link Long#MIN_VALUE} for never
 	 */
-	public Map<String, Long> passJumps() {
+	public Map<String, Long> lastPassJumps() {
 		return this.groups.values()
 			.stream()
 			.collect(Collectors.toUnmodifiableMap(GroupLoad::name, GroupLoad::lastJumpMillis));
@@ -336,7 +336,7 @@
 	 * @param unreportedFactor the factor by which the requests of all processes may
 	 * exceed the known ones, at least 1
 	 */
-	public void peersInFlight(Map<String, Integer> byServer, double unreportedFactor) {
+	public void updatePeersInFlight(Map<String, Integer> byServer, double unreportedFactor) {
 		this.unreportedFactor = unreportedFactor;
 		this.byId.forEach((id, backend) -> backend.peersInFlight(byServer.getOrDefault(id, 0)));
 		updateGroupCounts();
--- a/gateway/src/main/java/org/snowwind/gateway/backend/GroupLoad.java
+++ b/gateway/src/main/java/org/snowwind/gateway/backend/GroupLoad.java
@@ -140,7 +140,7 @@
 	 * @param nowMillis the time, in milliseconds
 	 * @return the free fraction, 1 for no group, 0 or less for a full or closed one
 	 */
-	double freeShare(Wanted requirements, long nowMillis) {
+	double freeShare(ServerRequirements requirements, long nowMillis) {
 		if (this == NONE) {
 			return 1;
 		}
--- a/gateway/src/main/java/org/snowwind/gateway/backend/LeastFull.java
+++ b/gateway/src/main/java/org/snowwind/gateway/backend/LeastUtilizedPick.java
@@ -8,7 +8,7 @@
  * Picks the least utilized server, at random among equal ones. A server in the same data
  * centre is preferred as long as it has at most about one request more than a remote one.
  */
-final class LeastFull implements ServerPick {
+final class LeastUtilizedPick implements ServerPick {
 
 	/** The penalty of a server in another data centre, as a fraction of its capacity. */
 	private static final double REMOTE_PENALTY = 0.15;
--- a/gateway/src/main/java/org/snowwind/gateway/backend/ServerPick.java
+++ b/gateway/src/main/java/org/snowwind/gateway/backend/ServerPick.java
@@ -23,7 +23,7 @@
 	 * @return the strategy
 	 */
 	static ServerPick leastUtilized() {
-		return new LeastFull();
+		return new LeastUtilizedPick();
 	}
 
 	/**
@@ -32,7 +32,7 @@
 	 * @return the strategy
 	 */
 	static ServerPick weightedRandom() {
-		return new DrawnByRoom();
+		return new WeightedRandomPick();
 	}
 
 }
--- a/gateway/src/main/java/org/snowwind/gateway/backend/Wanted.java
+++ b/gateway/src/main/java/org/snowwind/gateway/backend/ServerRequirements.java
@@ -15,15 +15,15 @@
  * @param pauseTargetMillis the maximum pause between events that is on time, in
  * milliseconds; 0 if there is no target
  */
-public record Wanted(String service, Set<String> tried, int maxQueuedAtServer, EngineProfile engine,
+public record ServerRequirements(String service, Set<String> tried, int maxQueuedAtServer, EngineProfile engine,
 		long pauseTargetMillis) {
 
 	/**
 	 * Returns the same requirements without excluded servers.
 	 * @return new requirements
 	 */
-	public Wanted withoutExclusions() {
-		return new Wanted(this.service, Set.of(), this.maxQueuedAtServer, this.engine, this.pauseTargetMillis);
+	public ServerRequirements withoutExclusions() {
+		return new ServerRequirements(this.service, Set.of(), this.maxQueuedAtServer, this.engine, this.pauseTargetMillis);
 	}
 
 }
--- a/gateway/src/main/java/org/snowwind/gateway/backend/SharedLimits.java
+++ b/gateway/src/main/java/org/snowwind/gateway/backend/SharedLimits.java
@@ -58,7 +58,7 @@
 	 * Records the arrival of a request of a caller.
 	 * @param service the service's name
 	 */
-	public void arrived(String service) {
+	public void onRequestArrival(String service) {
 		this.arrivals.computeIfAbsent(service, (name) -> new ArrivalRate()).recordRequest(this.clock.nowMillis());
 	}
 
@@ -67,7 +67,7 @@
 	 * @param service the service's name
 	 * @param change the change of the number of waiting requests, negative for fewer
 	 */
-	public void waits(String service, int change) {
+	public void changeWaiting(String service, int change) {
 		this.waiting.merge(service, change, Integer::sum);
 	}
 
@@ -120,12 +120,12 @@
 		return new Snapshot(active, announcements(known), wishes(limited));
 	}
 
-	private static List<Word> announcements(List<Backend> known) {
+	private static List<LimitAnnouncement> announcements(List<Backend> known) {
 		Comparator<Backend> byChange = Comparator.comparingLong((backend) -> backend.limit().known().changedMillis());
 		return known.stream()
 			.sorted(byChange.reversed())
 			.limit(MAX_ANNOUNCEMENTS)
-			.map((backend) -> new Word(backend.entry().run(), backend.limit().known().report()))
+			.map((backend) -> new LimitAnnouncement(backend.entry().run(), backend.limit().known().report()))
 			.toList();
 	}
 
@@ -133,10 +133,10 @@
 	 * Records announcements of servers that a peer has received.
 	 * @param announcements the announcements, with times by the local clock
 	 */
-	public void heard(List<Word> announcements) {
+	public void onPeerAnnouncements(List<LimitAnnouncement> announcements) {
 		long nowMillis = this.clock.nowMillis();
 		announcements.forEach((announcement) -> limitOf(announcement.run())
-			.ifPresent((limit) -> limit.onPeerAnnouncement(announcement.word(), nowMillis)));
+			.ifPresent((limit) -> limit.onPeerAnnouncement(announcement.limit(), nowMillis)));
 	}
 
 	private Optional<BackendLimit> limitOf(BackendRun run) {
@@ -172,7 +172,7 @@
 	 * @param grants the shares
 	 * @param askedMillis when they were requested, in milliseconds
 	 */
-	public void granted(List<Grant> grants, long askedMillis) {
+	public void applyGrants(List<Grant> grants, long askedMillis) {
 		long nowMillis = this.clock.nowMillis();
 		grants.forEach((grant) -> limitOf(grant.run())
 			.ifPresent((limit) -> limit.applyGrant(grant.grant(), askedMillis, nowMillis)));
@@ -181,11 +181,11 @@
 	/**
 	 * The state at one point in time.
 	 *
-	 * @param standing the active limits, in requests per second by the server's id
-	 * @param words the announcements that are sent to peers
+	 * @param activeLimits the active limits, in requests per second by the server's id
+	 * @param announcements the announcements that are sent to peers
 	 * @param wishes the demand of this process for the rate of each limited server
 	 */
-	public record Snapshot(Map<String, Double> standing, List<Word> words, List<Wish> wishes) {
+	public record Snapshot(Map<String, Double> activeLimits, List<LimitAnnouncement> announcements, List<Wish> wishes) {
 
 		/** The state without any limit. */
 		public static final Snapshot NONE = new Snapshot(Map.of(), List.of(), List.of());
@@ -204,9 +204,9 @@
 	 * The latest known announcement of a server's limit.
 	 *
 	 * @param run the incarnation of the server
-	 * @param word the announced limit
+	 * @param limit the announced limit
 	 */
-	public record Word(BackendRun run, LimitReport word) {
+	public record LimitAnnouncement(BackendRun run, LimitReport limit) {
 
 	}
 
--- a/gateway/src/main/java/org/snowwind/gateway/backend/DrawnByRoom.java
+++ b/gateway/src/main/java/org/snowwind/gateway/backend/WeightedRandomPick.java
@@ -12,7 +12,7 @@
  * picked the server that seems least utilized, they would all pick the same one until the
  * next reports arrive.
  */
-final class DrawnByRoom implements ServerPick {
+final class WeightedRandomPick implements ServerPick {
 
 	/**
 	 * The exponent of the free share in a server's weight. Of 1, 2 and 4 this value sent
--- a/gateway/src/main/java/org/snowwind/gateway/limit/LimitDuty.java
+++ b/gateway/src/main/java/org/snowwind/gateway/limit/LimitDuty.java
@@ -72,7 +72,7 @@
 
 	private final String name;
 
-	private final Local local;
+	private final LocalGateway local;
 
 	private final ThriftCalls calls;
 
@@ -95,7 +95,7 @@
 	 * @param calls creates links to other gateways
 	 * @param clock the clock
 	 */
-	public LimitDuty(String name, Local local, ThriftCalls calls, MonotonicClock clock) {
+	public LimitDuty(String name, LocalGateway local, ThriftCalls calls, MonotonicClock clock) {
 		this.name = name;
 		this.local = local;
 		this.calls = calls;
@@ -115,7 +115,7 @@
 	 * @param request the request of that gateway
 	 * @return its shares, in the order of the request
 	 */
-	public List<LimitGrant> requested(LimitRequest request) {
+	public List<LimitGrant> handleRequest(LimitRequest request) {
 		List<Wish> wishes = request.getWishes().stream().map(LimitMessages::toWish).toList();
 		long leaseMillis = Math.max(LEASE_SLACK_MILLIS, Math.min(MAX_LEASE_MILLIS, request.getLeaseMillis()));
 		return grant(request.getGateway(), wishes, leaseMillis).stream().map(LimitMessages::toMessage).toList();
@@ -165,7 +165,7 @@
 	private void requestGrants(String coordinator, List<Wish> wishes, long leaseMillis) {
 		long askedMillis = this.clock.nowMillis();
 		if (coordinator.equals(this.name)) {
-			this.local.grants().take(grant(this.name, wishes, leaseMillis), askedMillis);
+			this.local.grants().onGrants(grant(this.name, wishes, leaseMillis), askedMillis);
 			return;
 		}
 		Optional<ThriftLink<GatewayControl.AsyncClient>> link = linkTo(coordinator);
@@ -176,7 +176,7 @@
 				@Override
 				public void received(List<LimitGrant> grants) {
 					LimitDuty.this.local.grants()
-						.take(grants.stream().map(LimitMessages::toGrant).toList(), askedMillis);
+						.onGrants(grants.stream().map(LimitMessages::toGrant).toList(), askedMillis);
 				}
 
 				@Override
@@ -219,8 +219,8 @@
 	 * @param wishes the demand of this gateway for the rates of limited servers
 	 * @param grants receives the shares that are granted to this gateway
 	 */
-	public record Local(Supplier<Map<String, String>> peers, BooleanSupplier leaving, Supplier<List<Wish>> wishes,
-			Grants grants) {
+	public record LocalGateway(Supplier<Map<String, String>> peers, BooleanSupplier leaving, Supplier<List<Wish>> wishes,
+			GrantListener grants) {
 
 	}
 
@@ -228,14 +228,14 @@
 	 * Receives granted shares of rates.
 	 */
 	@FunctionalInterface
-	public interface Grants {
+	public interface GrantListener {
 
 		/**
 		 * Applies granted shares of rates.
 		 * @param grants the shares
 		 * @param askedMillis when they were requested, in milliseconds
 		 */
-		void take(List<Grant> grants, long askedMillis);
+		void onGrants(List<Grant> grants, long askedMillis);
 
 	}
 
--- a/gateway/src/main/java/org/snowwind/gateway/limit/LimitMessages.java
+++ b/gateway/src/main/java/org/snowwind/gateway/limit/LimitMessages.java
@@ -7,7 +7,7 @@
 import org.snowwind.decide.limit.RateDemand;
 import org.snowwind.gateway.backend.SharedLimits.Grant;
 import org.snowwind.gateway.backend.SharedLimits.Wish;
-import org.snowwind.gateway.backend.SharedLimits.Word;
+import org.snowwind.gateway.backend.SharedLimits.LimitAnnouncement;
 import org.snowwind.gateway.registry.BackendRun;
 import org.snowwind.wire.generated.LimitGrant;
 import org.snowwind.wire.generated.LimitNews;
@@ -28,10 +28,10 @@
 	 * @param nowMillis the time, in milliseconds
 	 * @return the messages
 	 */
-	public static List<LimitNews> news(List<Word> announcements, long nowMillis) {
+	public static List<LimitNews> toMessages(List<LimitAnnouncement> announcements, long nowMillis) {
 		return announcements.stream()
 			.map((announcement) -> new LimitNews(announcement.run().id(), announcement.run().bornMillis(),
-					announcement.word().perSecond(), nowMillis - announcement.word().atMillis()))
+					announcement.limit().perSecond(), nowMillis - announcement.limit().atMillis()))
 			.toList();
 	}
 
@@ -41,9 +41,9 @@
 	 * @param nowMillis the time by the local clock, in milliseconds
 	 * @return the announcements
 	 */
-	public static List<Word> words(List<LimitNews> messages, long nowMillis) {
+	public static List<LimitAnnouncement> fromMessages(List<LimitNews> messages, long nowMillis) {
 		return messages.stream()
-			.map((message) -> new Word(new BackendRun(message.getServer(), message.getBornMillis()),
+			.map((message) -> new LimitAnnouncement(new BackendRun(message.getServer(), message.getBornMillis()),
 					new LimitReport(message.getPerSecond(), nowMillis - Math.max(0, message.getAgeMillis()))))
 			.toList();
 	}
--- a/gateway/src/main/java/org/snowwind/gateway/peer/GatewayControlService.java
+++ b/gateway/src/main/java/org/snowwind/gateway/peer/GatewayControlService.java
@@ -48,7 +48,7 @@
 
 	@Override
 	public List<LimitGrant> requestGrants(LimitRequest request) {
-		return this.limits.requested(request);
+		return this.limits.handleRequest(request);
 	}
 
 	@Override
--- a/gateway/src/main/java/org/snowwind/gateway/peer/PeerMesh.java
+++ b/gateway/src/main/java/org/snowwind/gateway/peer/PeerMesh.java
@@ -215,7 +215,7 @@
 		long nowMillis = this.clock.nowMillis();
 		this.peers.acceptReport(report, nowMillis);
 		if (report.isSetLimits() && !report.getLimits().isEmpty()) {
-			this.consumers.limitsHeard(LimitMessages.words(report.getLimits(), nowMillis));
+			this.consumers.limitsHeard(LimitMessages.fromMessages(report.getLimits(), nowMillis));
 		}
 		this.consumers.tableTold(report.getTableVersion(), report.getControlAddress());
 		fetchIfNewer(GatewayDocument.TABLE, report.getTableVersion(), report.getControlAddress());
@@ -349,7 +349,7 @@
 		 * Called when a peer has relayed the limits that servers reported.
 		 * @param words the reported limits, with times by the own clock
 		 */
-		void limitsHeard(List<SharedLimits.Word> words);
+		void limitsHeard(List<SharedLimits.LimitAnnouncement> words);
 
 	}
 
--- a/gateway/src/main/java/org/snowwind/gateway/request/Attempt.java
+++ b/gateway/src/main/java/org/snowwind/gateway/request/Attempt.java
@@ -84,7 +84,7 @@
 	 * @param timeouts how long the server may send nothing
 	 */
 	void send(long remainingMillis, Timeouts timeouts) {
-		this.backend.sent(this.sentMillis);
+		this.backend.onSent(this.sentMillis);
 		this.idleTimeoutMillis = timeouts.idleMillis();
 		this.timeoutTimer = this.context.loop()
 			.later(() -> abort("no response head within the timeout"), timeouts.firstByteMillis());
@@ -164,7 +164,7 @@
 		if (!this.ended) {
 			this.cause = "abandoned";
 			close(null);
-			this.backend.withdrawn();
+			this.backend.onInconclusiveEnd();
 			cancelCall();
 		}
 	}
@@ -186,7 +186,7 @@
 		recordNotice(metadata);
 		if (metadata.rejected()) {
 			if (metadata.fromOtherInstance()) {
-				this.backend.replaced();
+				this.backend.onReplaced();
 			}
 			cancelCall();
 			finish(AttemptEnd.REFUSED);
@@ -198,7 +198,7 @@
 		}
 		if (this.request.route().repeat() == Repeat.STREAM) {
 			this.streaming = true;
-			this.backend.streamBegan(this.context.clock().nowMillis());
+			this.backend.onStreamStart(this.context.clock().nowMillis());
 		}
 		restartIdleTimer(true);
 		this.response = bufferFor(answerStatus, headers);
@@ -289,7 +289,7 @@
 		this.ended = true;
 		this.timeoutTimer.cancel(false);
 		if (this.streaming) {
-			this.backend.streamEnded();
+			this.backend.onStreamEnd();
 		}
 		String name = (end != null) ? end.name() : "ABANDONED";
 		this.context.meters().countAttempt(this.request.service(), name);
@@ -302,16 +302,16 @@
 		long nowMillis = this.context.clock().nowMillis();
 		boolean failed = end != AttemptEnd.ANSWERED || this.status >= SERVER_ERROR;
 		if (end == AttemptEnd.REFUSED) {
-			this.backend.refused(nowMillis);
+			this.backend.onRejection(nowMillis);
 		}
 		else if (end == AttemptEnd.NOT_SENT) {
-			this.backend.unreachable(nowMillis);
+			this.backend.onUnreachable(nowMillis);
 		}
 		else if (failed) {
-			this.backend.failed(nowMillis);
+			this.backend.onFailure(nowMillis);
 		}
 		else {
-			this.backend.answered(nowMillis - this.sentMillis, nowMillis);
+			this.backend.onAnswer(nowMillis - this.sentMillis, nowMillis);
 		}
 	}
 
--- a/gateway/src/main/java/org/snowwind/gateway/request/Relay.java
+++ b/gateway/src/main/java/org/snowwind/gateway/request/Relay.java
@@ -131,7 +131,7 @@
 		this.exchange.onWritableChange(this::adjustReading);
 		this.deadlineTimer = this.context.loop().later(this::endNow, remainingMillis());
 		this.context.budgets().recordRequest(this.request.service());
-		this.context.backends().limits().arrived(this.request.service());
+		this.context.backends().limits().onRequestArrival(this.request.service());
 		dispatch();
 	}
 
@@ -191,7 +191,7 @@
 	private void setWaiting(boolean nowWaiting) {
 		if (nowWaiting != this.waiting) {
 			this.waiting = nowWaiting;
-			this.context.backends().limits().waits(this.request.service(), nowWaiting ? 1 : -1);
+			this.context.backends().limits().changeWaiting(this.request.service(), nowWaiting ? 1 : -1);
 		}
 	}
 
@@ -378,7 +378,7 @@
 
 	private void recordResponseStart() {
 		this.context.admission()
-			.began(this.request.service(), this.context.clock().nowMillis() - this.attempt.sentMillis());
+			.onAnswerStart(this.request.service(), this.context.clock().nowMillis() - this.attempt.sentMillis());
 	}
 
 	private void recordEvents() {
@@ -397,7 +397,7 @@
 	private void recordServerPause(long pauseMillis, long nowMillis) {
 		if (pauseMillis != EventTimes.FIRST_EVENT) {
 			this.attempt.backend()
-				.paused(pauseMillis, this.request.route().pauseTargetMillis(), this.request.destination().engine(),
+				.onPause(pauseMillis, this.request.route().pauseTargetMillis(), this.request.destination().engine(),
 						nowMillis);
 		}
 	}
--- a/gateway/src/test/java/org/snowwind/gateway/backend/AdmissionTests.java
+++ b/gateway/src/test/java/org/snowwind/gateway/backend/AdmissionTests.java
@@ -38,9 +38,9 @@
 
 	@BeforeEach
 	void registerOneRank() {
-		this.table.use(new Registry(1,
+		this.table.update(new Registry(1,
 				Map.of("r", new BackendEntry("r", BackendRun.UNKNOWN, "s", "10.0.0.1", 80, "dc", 2, false))));
-		this.table.grouped(BackendRun.of("r"), "g");
+		this.table.recordGroup(BackendRun.of("r"), "g");
 	}
 
 	private Admission.Verdict decide(long arrivedMillis) {
@@ -52,8 +52,8 @@
 	}
 
 	private void fill() {
-		rank().sent(this.clock.nowMillis());
-		rank().sent(this.clock.nowMillis());
+		rank().onSent(this.clock.nowMillis());
+		rank().onSent(this.clock.nowMillis());
 	}
 
 	@Test
@@ -70,7 +70,7 @@
 	@Test
 	void requestThatCannotBeginOnTimeIsRejectedImmediately() {
 		fill();
-		this.admission.began("s", 100);
+		this.admission.onAnswerStart("s", 100);
 		assertThat(decide(9_800)).as("the mean of 100 ms plus twice the deviation of 50 ms fits")
 			.isInstanceOf(Admission.Verdict.Wait.class);
 		assertThat(decide(9_700)).isEqualTo(new Admission.Verdict.Reject(false, 200, 0, 0));
@@ -79,15 +79,15 @@
 	@Test
 	void noRequestWaitsIfAnswersBeginTooLateAnyway() {
 		fill();
-		this.admission.began("s", 400);
+		this.admission.onAnswerStart("s", 400);
 		assertThat(decide(10_000)).isEqualTo(new Admission.Verdict.Reject(false, 800, 0, 0));
 	}
 
 	@Test
 	void noRequestWaitsForClosedGroup() {
 		for (int i = 0; i < 3; i++) {
-			rank().sent(this.clock.nowMillis());
-			rank().refused(10_000);
+			rank().onSent(this.clock.nowMillis());
+			rank().onRejection(10_000);
 		}
 		assertThat(decide(10_000)).isEqualTo(new Admission.Verdict.Reject(true, 0, 0, 0));
 	}
@@ -99,7 +99,7 @@
 
 	private void grant(double perSecond) {
 		this.table.limits()
-			.granted(List.of(new SharedLimits.Grant(BackendRun.of("r"), new RateGrant(4, perSecond, 1, 0, 60_000))),
+			.applyGrants(List.of(new SharedLimits.Grant(BackendRun.of("r"), new RateGrant(4, perSecond, 1, 0, 60_000))),
 					this.clock.nowMillis());
 	}
 
@@ -110,7 +110,7 @@
 		grant(4);
 		this.clock.advance(250);
 		assertThat(decide(10_250)).isEqualTo(new Admission.Verdict.Send(rank()));
-		rank().sent(this.clock.nowMillis());
+		rank().onSent(this.clock.nowMillis());
 		assertThat(decide(10_250)).isInstanceOf(Admission.Verdict.Wait.class);
 	}
 
@@ -118,7 +118,7 @@
 	void noMoreRequestsWaitForLimitedServerThanCanBeSentInTime() {
 		setLimit(4);
 		grant(4);
-		this.table.limits().waits("s", 1);
+		this.table.limits().changeWaiting("s", 1);
 		assertThat(decide(10_000)).as("two requests need 500 ms")
 			.isEqualTo(new Admission.Verdict.Reject(false, 0, 500, 0));
 		assertThat(decide(10_001)).isInstanceOf(Admission.Verdict.Wait.class);
@@ -128,7 +128,7 @@
 	void atMostOneRequestWaitsWithoutGrant() {
 		setLimit(4);
 		assertThat(decide(10_000)).isInstanceOf(Admission.Verdict.Wait.class);
-		this.table.limits().waits("s", 1);
+		this.table.limits().changeWaiting("s", 1);
 		assertThat(decide(10_000)).isEqualTo(new Admission.Verdict.Reject(false, 0, Long.MAX_VALUE, 0));
 	}
 
@@ -136,8 +136,8 @@
 	void rejectionsOfLimitedServerDoNotCloseItsGroup() {
 		setLimit(4);
 		for (int i = 0; i < 3; i++) {
-			rank().sent(this.clock.nowMillis());
-			rank().refused(10_000);
+			rank().onSent(this.clock.nowMillis());
+			rank().onRejection(10_000);
 		}
 		assertThat(rank().group().isClosed()).isFalse();
 		assertThat(rank().isTrusted(10_000)).isTrue();
@@ -146,18 +146,18 @@
 	@Test
 	void limitBelongsToOneIncarnationOfTheServer() {
 		setLimit(0);
-		this.table.use(new Registry(2, Map.of("r", new BackendEntry("r", 7, "s", "10.0.0.1", 80, "dc", 2, false))));
-		this.table.use(new Registry(3, Map.of("r", new BackendEntry("r", 8, "s", "10.0.0.1", 80, "dc", 2, false))));
-		assertThat(this.table.limits().snapshot().standing()).isEmpty();
+		this.table.update(new Registry(2, Map.of("r", new BackendEntry("r", 7, "s", "10.0.0.1", 80, "dc", 2, false))));
+		this.table.update(new Registry(3, Map.of("r", new BackendEntry("r", 8, "s", "10.0.0.1", 80, "dc", 2, false))));
+		assertThat(this.table.limits().snapshot().activeLimits()).isEmpty();
 		assertThat(decide(10_000)).isInstanceOf(Admission.Verdict.Send.class);
 	}
 
 	@Test
 	void announcementsFromPeersAreAppliedAndForwarded() {
-		this.table.limits().heard(List.of(new SharedLimits.Word(BackendRun.of("r"), new LimitReport(3, 9_000))));
-		assertThat(this.table.limits().snapshot().standing()).isEqualTo(Map.of("r", 3.0));
-		assertThat(this.table.limits().snapshot().words())
-			.containsExactly(new SharedLimits.Word(BackendRun.of("r"), new LimitReport(3, 9_000)));
+		this.table.limits().onPeerAnnouncements(List.of(new SharedLimits.LimitAnnouncement(BackendRun.of("r"), new LimitReport(3, 9_000))));
+		assertThat(this.table.limits().snapshot().activeLimits()).isEqualTo(Map.of("r", 3.0));
+		assertThat(this.table.limits().snapshot().announcements())
+			.containsExactly(new SharedLimits.LimitAnnouncement(BackendRun.of("r"), new LimitReport(3, 9_000)));
 		assertThat(this.table.limits().snapshot().wishes()).singleElement()
 			.extracting((wish) -> wish.wish().limitPerSecond())
 			.isEqualTo(3.0);
@@ -174,7 +174,7 @@
 	}
 
 	private void registerTwoServers() {
-		this.table.use(new Registry(2, Map.of("r", plainServer("r"), "q", plainServer("q"))));
+		this.table.update(new Registry(2, Map.of("r", plainServer("r"), "q", plainServer("q"))));
 	}
 
 	private static BackendEntry plainServer(String id) {
@@ -184,10 +184,10 @@
 	private void reject(String id, long retryAfterMillis) {
 		Backend backend = this.table.find(id).orElseThrow();
 		long nowMillis = this.clock.nowMillis();
-		backend.sent(nowMillis);
+		backend.onSent(nowMillis);
 		backend.onResponseHead(new ServerNotice(AnnouncedLimit.NONE, retryAfterMillis, false, ""),
 				new BackendNotices.Source("test", false, nowMillis), RampUp.UNRESTRICTED, nowMillis);
-		backend.refused(nowMillis);
+		backend.onRejection(nowMillis);
 	}
 
 	private Admission.Verdict decideAfter(String... tried) {
@@ -216,7 +216,7 @@
 		reject("r", 3000);
 		reject("q", 300);
 		assertThat(decideAfter()).isInstanceOf(Admission.Verdict.Wait.class);
-		this.table.limits().waits("s", 1);
+		this.table.limits().changeWaiting("s", 1);
 		assertThat(decideAfter()).isEqualTo(new Admission.Verdict.Reject(true, 0, 0, 300));
 		this.clock.advance(300);
 		assertThat(decideAfter()).isEqualTo(new Admission.Verdict.Send(this.table.find("q").orElseThrow()));
@@ -234,10 +234,10 @@
 	@Test
 	void backoffBelongsToOneIncarnationOfTheServer() {
 		reject("r", 60_000);
-		this.table.use(new Registry(2, Map.of("r", new BackendEntry("r", 7, "s", "10.0.0.1", 80, "dc", 2, false))));
+		this.table.update(new Registry(2, Map.of("r", new BackendEntry("r", 7, "s", "10.0.0.1", 80, "dc", 2, false))));
 		assertThat(decide(10_000)).as("the same incarnation, whose start time was unknown before")
 			.isInstanceOf(Admission.Verdict.Reject.class);
-		this.table.use(new Registry(3, Map.of("r", new BackendEntry("r", 8, "s", "10.0.0.1", 80, "dc", 2, false))));
+		this.table.update(new Registry(3, Map.of("r", new BackendEntry("r", 8, "s", "10.0.0.1", 80, "dc", 2, false))));
 		assertThat(decide(10_000)).isInstanceOf(Admission.Verdict.Send.class);
 	}
 
@@ -246,7 +246,7 @@
 		registerTwoServers();
 		this.table.onResponseHead(rank(), new ServerNotice(AnnouncedLimit.NONE, 0, true, ""),
 				new BackendNotices.Source("test", true, 10_000));
-		this.table.use(new Registry(3, Map.of("r", plainServer("r"), "q", plainServer("q"))));
+		this.table.update(new Registry(3, Map.of("r", plainServer("r"), "q", plainServer("q"))));
 		assertThat(decideAfter("q")).isEqualTo(new Admission.Verdict.Send(this.table.find("q").orElseThrow()));
 		assertThat(rank().takesNewWork()).isFalse();
 	}
--- a/gateway/src/test/java/org/snowwind/gateway/backend/BackendTableTests.java
+++ b/gateway/src/test/java/org/snowwind/gateway/backend/BackendTableTests.java
@@ -43,11 +43,11 @@
 
 	private void register(BackendEntry... servers) {
 		this.table
-			.use(new Registry(1, Stream.of(servers).collect(Collectors.toMap(BackendEntry::id, (server) -> server))));
+			.update(new Registry(1, Stream.of(servers).collect(Collectors.toMap(BackendEntry::id, (server) -> server))));
 	}
 
 	private String choose(Set<String> tried) {
-		return this.table.choose(new Wanted("s", tried, 0, null, 0)).map(Backend::id).orElse("none");
+		return this.table.choose(new ServerRequirements("s", tried, 0, null, 0)).map(Backend::id).orElse("none");
 	}
 
 	private Backend server(String id) {
@@ -57,25 +57,25 @@
 	@Test
 	void leastUtilizedServerIsChosen() {
 		register(server("a", false), server("b", false));
-		server("a").sent(this.clock.nowMillis());
+		server("a").onSent(this.clock.nowMillis());
 		assertThat(choose(NONE)).isEqualTo("b");
-		this.table.peersInFlight(Map.of("b", 2), 1);
+		this.table.updatePeersInFlight(Map.of("b", 2), 1);
 		assertThat(choose(NONE)).isEqualTo("a");
 	}
 
 	@Test
 	void fullServerIsNotChosen() {
 		register(server("a", false));
-		server("a").sent(this.clock.nowMillis());
-		server("a").sent(this.clock.nowMillis());
+		server("a").onSent(this.clock.nowMillis());
+		server("a").onSent(this.clock.nowMillis());
 		assertThat(choose(NONE)).isEqualTo("none");
-		assertThat(this.table.choose(new Wanted("s", NONE, 1, null, 0))).isPresent();
+		assertThat(this.table.choose(new ServerRequirements("s", NONE, 1, null, 0))).isPresent();
 	}
 
 	@Test
 	void leavingServerGetsNoNewRequestsWhateverTheSource() {
 		register(server("a", true), server("b", false), server("c", false));
-		server("b").replaced();
+		server("b").onReplaced();
 		assertThat(choose(NONE)).isEqualTo("c");
 		assertThat(choose(Set.of("c"))).isEqualTo("none");
 	}
@@ -93,10 +93,10 @@
 	void failingServerIsEjectedTemporarily() {
 		register(server("a", false), server("b", false));
 		for (int i = 0; i < 2; i++) {
-			server("a").sent(this.clock.nowMillis());
-			server("a").failed(this.clock.nowMillis());
+			server("a").onSent(this.clock.nowMillis());
+			server("a").onFailure(this.clock.nowMillis());
 		}
-		server("b").sent(this.clock.nowMillis());
+		server("b").onSent(this.clock.nowMillis());
 		assertThat(choose(NONE)).isEqualTo("b");
 		this.clock.advance(10_000);
 		assertThat(choose(NONE)).isEqualTo("a");
@@ -106,8 +106,8 @@
 	void ejectedServerIsUsedIfThereIsNoOther() {
 		register(server("a", false));
 		for (int i = 0; i < 4; i++) {
-			server("a").sent(this.clock.nowMillis());
-			server("a").failed(this.clock.nowMillis());
+			server("a").onSent(this.clock.nowMillis());
+			server("a").onFailure(this.clock.nowMillis());
 		}
 		assertThat(choose(NONE)).isEqualTo("a");
 	}
@@ -127,9 +127,9 @@
 		for (int gateway = 0; gateway < GATEWAYS; gateway++) {
 			BackendTable ofGateway = new BackendTable(this.clock, new Random(seeds.nextLong()), "dc", () -> 1);
 			ofGateway
-				.use(new Registry(1, Stream.of(ranks).collect(Collectors.toMap(BackendEntry::id, (server) -> server))));
-			ofGateway.peersInFlight(staleLoads, 1);
-			Optional<Backend> chosen = ofGateway.choose(new Wanted("s", NONE, 0, ENGINE, 120));
+				.update(new Registry(1, Stream.of(ranks).collect(Collectors.toMap(BackendEntry::id, (server) -> server))));
+			ofGateway.updatePeersInFlight(staleLoads, 1);
+			Optional<Backend> chosen = ofGateway.choose(new ServerRequirements("s", NONE, 0, ENGINE, 120));
 			pickedEmptyServer += chosen.orElseThrow().id().equals("r0") ? 1 : 0;
 		}
 		// Three of 39 picks are expected. More than fourteen occur for one in ten
@@ -140,12 +140,12 @@
 	@Test
 	void serverOfFullGroupIsNotChosen() {
 		register(server("a", false), server("b", false));
-		this.table.grouped(BackendRun.of("a"), "g");
-		server("a").sent(this.clock.nowMillis());
-		Wanted requirements = new Wanted("s", Set.of("b"), 9, ENGINE, 120);
+		this.table.recordGroup(BackendRun.of("a"), "g");
+		server("a").onSent(this.clock.nowMillis());
+		ServerRequirements requirements = new ServerRequirements("s", Set.of("b"), 9, ENGINE, 120);
 		assertThat(this.table.choose(requirements)).isPresent();
 		for (int i = 0; i < ENGINE.slots(); i++) {
-			server("a").sent(this.clock.nowMillis());
+			server("a").onSent(this.clock.nowMillis());
 		}
 		assertThat(this.table.choose(requirements)).isEmpty();
 	}
@@ -153,7 +153,7 @@
 	@Test
 	void groupWithUnreachableRanksIsClosed() {
 		register(server("a", false), server("b", false), server("c", false));
-		Stream.of("a", "b", "c").forEach((id) -> this.table.grouped(BackendRun.of(id), "g"));
+		Stream.of("a", "b", "c").forEach((id) -> this.table.recordGroup(BackendRun.of(id), "g"));
 		Stream.of("a", "b").forEach(this::failToReach);
 		assertThat(this.table.outage("s").total()).as("two ranks may have failed").isFalse();
 		failToReach("c");
@@ -163,36 +163,36 @@
 	@Test
 	void streamThatBeganBeforeItsGroupWasKnownCountsInGroup() {
 		register(server("a", false));
-		server("a").sent(this.clock.nowMillis());
-		server("a").streamBegan(10_000);
-		this.table.grouped(BackendRun.of("a"), "g");
+		server("a").onSent(this.clock.nowMillis());
+		server("a").onStreamStart(10_000);
+		this.table.recordGroup(BackendRun.of("a"), "g");
 		this.clock.advance(600);
 		choose(NONE);
-		this.table.choose(new Wanted("s", NONE, 9, ENGINE, 120));
+		this.table.choose(new ServerRequirements("s", NONE, 9, ENGINE, 120));
 		assertThat(this.table.outage("s").total()).as("the only stream has no events").isTrue();
-		server("a").streamEnded();
-		server("a").sent(this.clock.nowMillis());
-		server("a").streamBegan(this.clock.nowMillis());
+		server("a").onStreamEnd();
+		server("a").onSent(this.clock.nowMillis());
+		server("a").onStreamStart(this.clock.nowMillis());
 		assertThat(this.table.outage("s").total()).isFalse();
 		this.clock.advance(600);
-		this.table.choose(new Wanted("s", NONE, 9, ENGINE, 120));
+		this.table.choose(new ServerRequirements("s", NONE, 9, ENGINE, 120));
 		assertThat(this.table.outage("s").total()).as("the next stream has no events either").isTrue();
 	}
 
 	private void failToReach(String id) {
-		server(id).sent(this.clock.nowMillis());
-		server(id).unreachable(this.clock.nowMillis());
+		server(id).onSent(this.clock.nowMillis());
+		server(id).onUnreachable(this.clock.nowMillis());
 	}
 
 	@Test
 	void newGatewayLeavesRoomForUnreportedRequestsOfPeers() {
 		register(server("a", false), server("b", false));
-		Stream.of("a", "b").forEach((id) -> this.table.grouped(BackendRun.of(id), "g"));
-		Wanted requirements = new Wanted("s", NONE, 9, ENGINE, 120);
-		server("a").sent(this.clock.nowMillis());
-		this.table.peersInFlight(Map.of(), 1);
+		Stream.of("a", "b").forEach((id) -> this.table.recordGroup(BackendRun.of(id), "g"));
+		ServerRequirements requirements = new ServerRequirements("s", NONE, 9, ENGINE, 120);
+		server("a").onSent(this.clock.nowMillis());
+		this.table.updatePeersInFlight(Map.of(), 1);
 		assertThat(this.table.choose(requirements)).isPresent();
-		this.table.peersInFlight(Map.of(), 20);
+		this.table.updatePeersInFlight(Map.of(), 20);
 		assertThat(this.table.choose(requirements)).as("20 gateways with one request each fill 14 slots").isEmpty();
 	}
 
@@ -206,9 +206,9 @@
 	void restartedServerStartsWithoutEarlierState() {
 		register(serverBornAt(1000));
 		Backend before = server("a");
-		this.table.grouped(new BackendRun("a", 1000), "g");
-		before.sent(this.clock.nowMillis());
-		before.replaced();
+		this.table.recordGroup(new BackendRun("a", 1000), "g");
+		before.onSent(this.clock.nowMillis());
+		before.onReplaced();
 		register(serverBornAt(2000));
 		assertThat(server("a").load()).isZero();
 		assertThat(server("a").group()).isNull();
@@ -219,7 +219,7 @@
 	@Test
 	void renewedEntryOfSameIncarnationKeepsState() {
 		register(serverBornAt(1000));
-		server("a").sent(this.clock.nowMillis());
+		server("a").onSent(this.clock.nowMillis());
 		register(serverBornAt(1000));
 		assertThat(server("a").load()).isEqualTo(1);
 	}
@@ -227,9 +227,9 @@
 	@Test
 	void groupOfEarlierIncarnationIsIgnored() {
 		register(serverBornAt(2000));
-		this.table.grouped(new BackendRun("a", 1000), "g");
+		this.table.recordGroup(new BackendRun("a", 1000), "g");
 		assertThat(server("a").group()).isNull();
-		this.table.grouped(new BackendRun("a", 2000), "g");
+		this.table.recordGroup(new BackendRun("a", 2000), "g");
 		assertThat(server("a").group()).isNotNull();
 	}
 
--- a/gateway/src/test/java/org/snowwind/gateway/backend/GroupLoadTests.java
+++ b/gateway/src/test/java/org/snowwind/gateway/backend/GroupLoadTests.java
@@ -8,7 +8,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Tests for {@link GroupLoad} and {@link Wanted}.
+ * Tests for {@link GroupLoad} and {@link ServerRequirements}.
  */
 class GroupLoadTests {
 
@@ -103,7 +103,7 @@
 
 	@Test
 	void groupWithoutEventsOnAnyStreamGetsNoNewRequests() {
-		Wanted requirements = new Wanted("s", Set.of(), 0, PROFILE, TARGET_MILLIS);
+		ServerRequirements requirements = new ServerRequirements("s", Set.of(), 0, PROFILE, TARGET_MILLIS);
 		this.group.updateCounts(8, 2);
 		this.group.streamBegan(1000);
 		assertThat(this.group.freeShare(requirements, 1400)).isPositive();
@@ -115,7 +115,7 @@
 
 	@Test
 	void groupWithoutStreamsIsNotStalled() {
-		Wanted requirements = new Wanted("s", Set.of(), 0, PROFILE, TARGET_MILLIS);
+		ServerRequirements requirements = new ServerRequirements("s", Set.of(), 0, PROFILE, TARGET_MILLIS);
 		this.group.updateCounts(8, 0);
 		this.group.streamBegan(1000);
 		this.group.removeStreams(1);
--- a/gateway/src/test/java/org/snowwind/gateway/backend/LoadModel.java
+++ b/gateway/src/test/java/org/snowwind/gateway/backend/LoadModel.java
@@ -74,8 +74,8 @@
 		for (int i = 0; i < scenario.gateways(); i++) {
 			BackendTable table = new BackendTable(this.clock, new Random(this.random.nextLong()), dataCentre(i),
 					scenario::gateways, limit);
-			table.use(new Registry(1, entries));
-			entries.keySet().forEach((id) -> table.grouped(BackendRun.of(id), "g"));
+			table.update(new Registry(1, entries));
+			entries.keySet().forEach((id) -> table.recordGroup(BackendRun.of(id), "g"));
 			this.gateways.add(new Gateway(table, new Admission(table, this.clock)));
 		}
 	}
@@ -216,7 +216,7 @@
 					other.reported.forEach((id, count) -> sums.merge(id, count, Integer::sum));
 				}
 			}
-			this.table.peersInFlight(sums, 1);
+			this.table.updatePeersInFlight(sums, 1);
 			this.reported = this.table.inFlight();
 		}
 
@@ -248,9 +248,9 @@
 
 		private void send(WaitingCall waitingCall, Backend backend) {
 			List<Stream> streams = LoadModel.this.streamsByServer.get(backend.id());
-			backend.sent(LoadModel.this.clock.nowMillis());
+			backend.onSent(LoadModel.this.clock.nowMillis());
 			if (streams.size() >= LoadModel.this.scenario.engine().slots()) {
-				backend.refused(LoadModel.this.clock.nowMillis());
+				backend.onRejection(LoadModel.this.clock.nowMillis());
 				LoadModel.this.result.sentToFull++;
 				this.waiting.add(waitingCall);
 				return;
@@ -300,8 +300,8 @@
 			long nowMillis = LoadModel.this.clock.nowMillis();
 			Scenario settings = LoadModel.this.scenario;
 			if (this.lastMillis == 0) {
-				this.gateway.admission.began(SERVICE, nowMillis - this.sentMillis);
-				this.backend.streamBegan(nowMillis);
+				this.gateway.admission.onAnswerStart(SERVICE, nowMillis - this.sentMillis);
+				this.backend.onStreamStart(nowMillis);
 				this.late = nowMillis - this.call.firstMillis() > settings.targetMillis();
 				if (nowMillis - this.sentMillis > PATIENCE_MILLIS) {
 					LoadModel.this.result.callersLeft++;
@@ -310,14 +310,14 @@
 			else {
 				long pauseMillis = nowMillis - this.lastMillis;
 				this.late = this.late || pauseMillis > settings.pauseTargetMillis();
-				this.backend.paused(pauseMillis, settings.pauseTargetMillis(), settings.engine(), nowMillis);
+				this.backend.onPause(pauseMillis, settings.pauseTargetMillis(), settings.engine(), nowMillis);
 			}
 			this.lastMillis = nowMillis;
 			this.eventsLeft--;
 			if (this.eventsLeft == 0) {
 				LoadModel.this.streamsByServer.get(this.backend.id()).remove(this);
-				this.backend.answered(nowMillis - this.sentMillis, nowMillis);
-				this.backend.streamEnded();
+				this.backend.onAnswer(nowMillis - this.sentMillis, nowMillis);
+				this.backend.onStreamEnd();
 				LoadModel.this.result.served(this.late);
 			}
 		}
--- a/gateway/src/test/java/org/snowwind/gateway/backend/ReturnModel.java
+++ b/gateway/src/test/java/org/snowwind/gateway/backend/ReturnModel.java
@@ -74,7 +74,7 @@
 		for (int i = 0; i < scenario.gateways(); i++) {
 			BackendTable table = new BackendTable(this.clock, new Random(this.random.nextLong()), "dc",
 					scenario::gateways);
-			table.use(new Registry(1, entries));
+			table.update(new Registry(1, entries));
 			this.tables.add(table);
 			this.admissions.add(new Admission(table, this.clock));
 		}
@@ -114,7 +114,7 @@
 		for (BackendTable table : this.tables) {
 			Map<String, Integer> others = new HashMap<>(all);
 			table.inFlight().forEach((id, count) -> others.merge(id, -count, Integer::sum));
-			table.peersInFlight(others, 1);
+			table.updatePeersInFlight(others, 1);
 		}
 	}
 
@@ -125,7 +125,7 @@
 		boolean waits = verdict instanceof Admission.Verdict.Wait;
 		if (waits != call.waits) {
 			call.waits = waits;
-			this.tables.get(call.gateway).limits().waits(SERVICE, waits ? 1 : -1);
+			this.tables.get(call.gateway).limits().changeWaiting(SERVICE, waits ? 1 : -1);
 		}
 		if (waits) {
 			this.waiting.add(call);
@@ -137,7 +137,7 @@
 
 	private void send(Call call, Backend backend) {
 		call.tried.add(backend.id());
-		backend.sent(this.clock.nowMillis());
+		backend.onSent(this.clock.nowMillis());
 		Server server = this.servers.stream()
 			.filter((candidate) -> candidate.id.equals(backend.id()))
 			.findFirst()
@@ -147,7 +147,7 @@
 
 	private void reject(Work work, long ms) {
 		this.result.rejected(ms);
-		work.backend.refused(this.clock.nowMillis());
+		work.backend.onRejection(this.clock.nowMillis());
 		ServerNotice notice = new ServerNotice(AnnouncedLimit.NONE, RETRY_AFTER_MILLIS, false, "");
 		BackendNotices.Source source = new BackendNotices.Source("model", false, work.sentMillis);
 		if (this.scenario.paced()) {
@@ -263,7 +263,7 @@
 			long nowMillis = ReturnModel.this.clock.nowMillis();
 			for (Work done : this.running.keySet().stream().filter((work) -> this.running.get(work) <= ms).toList()) {
 				this.running.remove(done);
-				done.backend.answered(nowMillis - done.sentMillis, nowMillis);
+				done.backend.onAnswer(nowMillis - done.sentMillis, nowMillis);
 				ReturnModel.this.result.served(done.call.createdMs);
 			}
 			while (!this.arriving.isEmpty() && this.arriving.peek().sentMillis + NETWORK_MILLIS <= nowMillis) {
--- a/gateway/src/test/java/org/snowwind/gateway/backend/ServerPickTests.java
+++ b/gateway/src/test/java/org/snowwind/gateway/backend/ServerPickTests.java
@@ -12,7 +12,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Tests for {@link LeastFull} and {@link DrawnByRoom}.
+ * Tests for {@link LeastUtilizedPick} and {@link WeightedRandomPick}.
  */
 class ServerPickTests {
 
--- a/gateway/src/test/java/org/snowwind/gateway/request/GatewayFixture.java
+++ b/gateway/src/test/java/org/snowwind/gateway/request/GatewayFixture.java
@@ -176,25 +176,25 @@
 			peerLoad.put("server-" + i, i);
 		}
 		onLoop(() -> {
-			this.backends.use(new Registry(this.entries.size(), this.entries));
-			this.backends.peersInFlight(peerLoad, 1);
+			this.backends.update(new Registry(this.entries.size(), this.entries));
+			this.backends.updatePeersInFlight(peerLoad, 1);
 		});
 	}
 
 	/** Puts all servers into one group that has rejected several requests in a row. */
 	void closeGroup() {
 		onLoop(() -> this.entries.keySet().forEach((id) -> {
-			this.backends.grouped(BackendRun.of(id), "group");
+			this.backends.recordGroup(BackendRun.of(id), "group");
 			for (int i = 0; i < 3; i++) {
-				this.backends.find(id).orElseThrow().sent(this.clock.nowMillis());
-				this.backends.find(id).orElseThrow().refused(this.clock.nowMillis());
+				this.backends.find(id).orElseThrow().onSent(this.clock.nowMillis());
+				this.backends.find(id).orElseThrow().onRejection(this.clock.nowMillis());
 			}
 		}));
 	}
 
 	/** Puts a server into a group. */
 	void addToGroup(String id, String group) {
-		onLoop(() -> this.backends.grouped(BackendRun.of(id), group));
+		onLoop(() -> this.backends.recordGroup(BackendRun.of(id), group));
 	}
 
 	/** Returns the duration of a pass of a server's group, as estimated from pauses. */
@@ -208,7 +208,7 @@
 	void setPeerLoad(int requests) {
 		Map<String, Integer> peerLoad = new HashMap<>();
 		this.entries.keySet().forEach((id) -> peerLoad.put(id, requests));
-		onLoop(() -> this.backends.peersInFlight(peerLoad, 1));
+		onLoop(() -> this.backends.updatePeersInFlight(peerLoad, 1));
 	}
 
 	/** Begins a stop with a long grace period. */
