--- a/gateway/src/main/java/org/snowwind/gateway/GatewayDaemon.java
+++ b/gateway/src/main/java/org/snowwind/gateway/GatewayDaemon.java
@@ -28,7 +28,7 @@
 import org.snowwind.gateway.peer.PeerTable;
 import org.snowwind.gateway.peer.StoreClaims;
 import org.snowwind.gateway.registry.BackendEntry;
-import org.snowwind.gateway.registry.BackendRun;
+import org.snowwind.gateway.registry.BackendIncarnation;
 import org.snowwind.gateway.registry.RegistryHolder;
 import org.snowwind.gateway.request.GatewayHandler;
 import org.snowwind.gateway.request.GatewayMeters;
@@ -197,8 +197,8 @@
 				new GatewayLimits.Parts(() -> this.mesh.view().liveByName(), () -> this.draining, this.calls,
 						this.admin.registry(), this.clock));
 		GatewayDirectory directory = new GatewayDirectory(adapters.store(), settings.name(), ownAddress,
-				this.mesh::listed, () -> this.mesh.view().liveAddresses());
-		this.directoryThread = new DutyThread("directory", SMALL_RING, DIRECTORY_MILLIS, directory::round);
+				this.mesh::acceptPlatformList, () -> this.mesh.view().liveAddresses());
+		this.directoryThread = new DutyThread("directory", SMALL_RING, DIRECTORY_MILLIS, directory::refresh);
 		GroupDirectory groups = new GroupDirectory(this.rankClient, adapters.ranks(), this.limits.calls(),
 				adapters.store(),
 				new GroupDirectory.Sources(() -> this.ungrouped, this::registeredRuns, this::plansExperts),
@@ -217,8 +217,8 @@
 		return freshness;
 	}
 
-	private Set<BackendRun> registeredRuns() {
-		return this.registries.current().list().stream().map(BackendEntry::run).collect(Collectors.toSet());
+	private Set<BackendIncarnation> registeredRuns() {
+		return this.registries.current().list().stream().map(BackendEntry::incarnation).collect(Collectors.toSet());
 	}
 
 	private boolean plansExperts() {
@@ -228,7 +228,7 @@
 	private boolean shouldPlanExperts() {
 		PeerMesh.View peers = this.mesh.view();
 		return !this.draining
-				&& this.experts.claim().stands(peers.plannerFence(), peers.promptNames(), this.settings.name());
+				&& this.experts.claim().stands(peers.plannerFence(), peers.recentNames(), this.settings.name());
 	}
 
 	private Set<String> confirmingPeers() {
@@ -336,7 +336,7 @@
 		GatewayReport report = new GatewayReport(this.settings.name(), this.incarnation,
 				Addresses.render(this.settings.peers()), this.draining, this.tables.current().version(),
 				this.registries.current().revision(), this.inFlight, List.of(), this.experts.fence());
-		this.claims.write(report);
+		this.claims.addClaims(report);
 		report.setStoreAway(this.copies.isStoreAway());
 		return report.setLimits(this.limits.news());
 	}
@@ -350,7 +350,7 @@
 		boolean needsRestart = !next.callers().equals(this.settings.callers())
 				|| !next.peers().equals(this.settings.peers()) || !next.platform().equals(this.settings.platform());
 		this.graceMillis = next.graceMillis();
-		this.mesh.mayBeAt(next.seeds().stream().map(Addresses::render).toList());
+		this.mesh.addCandidates(next.seeds().stream().map(Addresses::render).toList());
 		EventLog.log(Event.SETTINGS_RELOADED, "graceMillis", next.graceMillis(), "seeds", next.seeds().size(),
 				"needsRestart", needsRestart);
 	}
@@ -451,13 +451,13 @@
 	private final class LoopConsumers implements PeerMesh.Consumers {
 
 		@Override
-		public boolean isStoreAway() {
+		public boolean isStoreUnavailable() {
 			return GatewayDaemon.this.copies.isStoreAway();
 		}
 
 		@Override
-		public void tableTold(long version, String peer) {
-			GatewayDaemon.this.copies.tableFreshness().told(version, peer);
+		public void tableVersionReported(long version, String peer) {
+			GatewayDaemon.this.copies.tableFreshness().recordPeerVersion(version, peer);
 		}
 
 		@Override
@@ -466,7 +466,7 @@
 		}
 
 		@Override
-		public void limitsHeard(List<SharedLimits.LimitAnnouncement> words) {
+		public void limitsReported(List<SharedLimits.LimitAnnouncement> words) {
 			GatewayDaemon.this.limits.heard(words);
 		}
 
--- a/gateway/src/main/java/org/snowwind/gateway/GatewayLimits.java
+++ b/gateway/src/main/java/org/snowwind/gateway/GatewayLimits.java
@@ -13,7 +13,7 @@
 import org.snowwind.gateway.limit.LimitDuty;
 import org.snowwind.gateway.limit.LimitMessages;
 import org.snowwind.gateway.limit.ServerCalls;
-import org.snowwind.gateway.registry.BackendRun;
+import org.snowwind.gateway.registry.BackendIncarnation;
 import org.snowwind.http.DataLoop;
 import org.snowwind.model.MonotonicClock;
 import org.snowwind.wire.ThriftCalls;
@@ -69,7 +69,7 @@
 		this.loop.run(() -> this.limits.applyGrants(grants, askedMillis));
 	}
 
-	private void onNotice(BackendRun run, ServerNotice notice, long sentMillis) {
+	private void onNotice(BackendIncarnation run, ServerNotice notice, long sentMillis) {
 		this.loop.run(() -> this.backends.onNotice(run, notice, sentMillis));
 	}
 
--- a/gateway/src/main/java/org/snowwind/gateway/StoreCopies.java
+++ b/gateway/src/main/java/org/snowwind/gateway/StoreCopies.java
@@ -225,7 +225,7 @@
 			.builder("snowwind.gateway.registry.unconfirmed.millis", this.registryFreshness,
 					Freshness::unconfirmedMillis)
 			.register(registry);
-		Gauge.builder("snowwind.gateway.servers.unreadable", this.registryWatcher, RegistryWatcher::unreadable)
+		Gauge.builder("snowwind.gateway.servers.unreadable", this.registryWatcher, RegistryWatcher::unreadableCount)
 			.register(registry);
 	}
 
--- a/gateway/src/main/java/org/snowwind/gateway/backend/BackendLimit.java
+++ b/gateway/src/main/java/org/snowwind/gateway/backend/BackendLimit.java
@@ -5,7 +5,7 @@
 import org.snowwind.decide.limit.AnnouncedLimit;
 import org.snowwind.decide.limit.RateGrant;
 import org.snowwind.decide.limit.ServerLimit;
-import org.snowwind.gateway.registry.BackendRun;
+import org.snowwind.gateway.registry.BackendIncarnation;
 import org.snowwind.model.event.Event;
 import org.snowwind.model.event.EventLog;
 
@@ -25,7 +25,7 @@
 
 	private static final String PEER = "peer";
 
-	private final BackendRun run;
+	private final BackendIncarnation run;
 
 	private final ServerLimit known = new ServerLimit();
 
@@ -43,7 +43,7 @@
 	 * Creates the state of a server that has announced no limit.
 	 * @param run the incarnation of the server
 	 */
-	BackendLimit(BackendRun run) {
+	BackendLimit(BackendIncarnation run) {
 		this.run = run;
 	}
 
--- a/gateway/src/main/java/org/snowwind/gateway/backend/BackendNotices.java
+++ b/gateway/src/main/java/org/snowwind/gateway/backend/BackendNotices.java
@@ -3,7 +3,7 @@
 import org.snowwind.decide.notice.RampUp;
 import org.snowwind.decide.notice.ServerBackoff;
 import org.snowwind.decide.notice.ServerNotice;
-import org.snowwind.gateway.registry.BackendRun;
+import org.snowwind.gateway.registry.BackendIncarnation;
 import org.snowwind.model.event.Event;
 import org.snowwind.model.event.EventLog;
 
@@ -19,7 +19,7 @@
 	 */
 	private static final long LOG_PERIOD_MILLIS = 1000;
 
-	private final BackendRun run;
+	private final BackendIncarnation run;
 
 	private final BackendLimit limit;
 
@@ -37,7 +37,7 @@
 	 * Creates the state of a server that has announced nothing.
 	 * @param run the server's incarnation
 	 */
-	BackendNotices(BackendRun run) {
+	BackendNotices(BackendIncarnation run) {
 		this.run = run;
 		this.limit = new BackendLimit(run);
 	}
--- a/gateway/src/main/java/org/snowwind/gateway/backend/BackendTable.java
+++ b/gateway/src/main/java/org/snowwind/gateway/backend/BackendTable.java
@@ -14,7 +14,7 @@
 import org.snowwind.decide.notice.RampUp;
 import org.snowwind.decide.notice.ServerNotice;
 import org.snowwind.gateway.registry.BackendEntry;
-import org.snowwind.gateway.registry.BackendRun;
+import org.snowwind.gateway.registry.BackendIncarnation;
 import org.snowwind.gateway.registry.Registry;
 import org.snowwind.model.MonotonicClock;
 import org.snowwind.model.event.Event;
@@ -97,20 +97,20 @@
 	private void remove(String id) {
 		Backend backend = this.byId.remove(id);
 		backend.remove();
-		this.removedNotices.keep(backend.entry().run(), backend.notices());
+		this.removedNotices.keep(backend.entry().incarnation(), backend.notices());
 		EventLog.log(Event.SERVER_REMOVED, "server", id, "registry", this.revision);
 	}
 
 	private void addOrUpdate(BackendEntry entry) {
 		Backend existing = this.byId.get(entry.id());
-		if (existing != null && !existing.entry().run().mayBe(entry.run())) {
+		if (existing != null && !existing.entry().incarnation().mayEqual(entry.incarnation())) {
 			EventLog.log(Event.SERVER_RESTARTED, "server", entry.id(), "bornMillis", entry.bornMillis(), "before",
 					existing.entry().bornMillis(), "inFlight", existing.inFlight(), "registry", this.revision);
 			this.byId.remove(entry.id()).remove();
 			existing = null;
 		}
 		if (existing == null) {
-			this.byId.put(entry.id(), new Backend(entry, this.removedNotices.take(entry.run())));
+			this.byId.put(entry.id(), new Backend(entry, this.removedNotices.take(entry.incarnation())));
 			EventLog.log(Event.SERVER_ADDED, "server", entry.id(), "service", entry.service(), "address",
 					entry.address(), "dataCentre", entry.dataCentre(), "draining", entry.draining(), "registry",
 					this.revision);
@@ -163,8 +163,8 @@
 	 * @param notice what it announces
 	 * @param sentMillis when the call was sent, in milliseconds
 	 */
-	public void onNotice(BackendRun run, ServerNotice notice, long sentMillis) {
-		find(run.id()).filter((backend) -> backend.entry().run().mayBe(run))
+	public void onNotice(BackendIncarnation run, ServerNotice notice, long sentMillis) {
+		find(run.id()).filter((backend) -> backend.entry().incarnation().mayEqual(run))
 			.ifPresent((backend) -> onResponseHead(backend, notice,
 					new BackendNotices.Source("report or order", false, sentMillis)));
 	}
@@ -294,8 +294,8 @@
 	 * @param run the incarnation of the server
 	 * @param group the group's name
 	 */
-	public void recordGroup(BackendRun run, String group) {
-		find(run.id()).filter((backend) -> backend.entry().run().mayBe(run)).ifPresent((backend) -> {
+	public void recordGroup(BackendIncarnation run, String group) {
+		find(run.id()).filter((backend) -> backend.entry().incarnation().mayEqual(run)).ifPresent((backend) -> {
 			backend.group(this.groups.computeIfAbsent(group, (name) -> new GroupLoad(name, this.groupLimit)),
 					this.clock.nowMillis());
 			updateGroupCounts();
--- a/gateway/src/main/java/org/snowwind/gateway/backend/RemovedNotices.java
+++ b/gateway/src/main/java/org/snowwind/gateway/backend/RemovedNotices.java
@@ -3,7 +3,7 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-import org.snowwind.gateway.registry.BackendRun;
+import org.snowwind.gateway.registry.BackendIncarnation;
 
 /**
  * The notices of servers that are no longer registered. Confined to the event loop.
@@ -31,7 +31,7 @@
 	 * @param run the incarnation in its last entry
 	 * @param notices its notices
 	 */
-	void keep(BackendRun run, BackendNotices notices) {
+	void keep(BackendIncarnation run, BackendNotices notices) {
 		this.byId.put(run.id(), new Removed(run, notices));
 	}
 
@@ -41,12 +41,12 @@
 	 * @return the notices of this incarnation from before its entry was removed, or new
 	 * notices if there are none
 	 */
-	BackendNotices take(BackendRun run) {
+	BackendNotices take(BackendIncarnation run) {
 		Removed removed = this.byId.remove(run.id());
-		return (removed != null && removed.run().mayBe(run)) ? removed.notices() : new BackendNotices(run);
+		return (removed != null && removed.run().mayEqual(run)) ? removed.notices() : new BackendNotices(run);
 	}
 
-	private record Removed(BackendRun run, BackendNotices notices) {
+	private record Removed(BackendIncarnation run, BackendNotices notices) {
 
 	}
 
--- a/gateway/src/main/java/org/snowwind/gateway/backend/SharedLimits.java
+++ b/gateway/src/main/java/org/snowwind/gateway/backend/SharedLimits.java
@@ -15,7 +15,7 @@
 import org.snowwind.decide.limit.LimitReport;
 import org.snowwind.decide.limit.RateGrant;
 import org.snowwind.decide.limit.RateDemand;
-import org.snowwind.gateway.registry.BackendRun;
+import org.snowwind.gateway.registry.BackendIncarnation;
 import org.snowwind.model.MonotonicClock;
 
 /**
@@ -125,7 +125,7 @@
 		return known.stream()
 			.sorted(byChange.reversed())
 			.limit(MAX_ANNOUNCEMENTS)
-			.map((backend) -> new LimitAnnouncement(backend.entry().run(), backend.limit().known().report()))
+			.map((backend) -> new LimitAnnouncement(backend.entry().incarnation(), backend.limit().known().report()))
 			.toList();
 	}
 
@@ -139,8 +139,8 @@
 			.ifPresent((limit) -> limit.onPeerAnnouncement(announcement.limit(), nowMillis)));
 	}
 
-	private Optional<BackendLimit> limitOf(BackendRun run) {
-		return this.lookup.apply(run.id()).filter((backend) -> backend.entry().run().mayBe(run)).map(Backend::limit);
+	private Optional<BackendLimit> limitOf(BackendIncarnation run) {
+		return this.lookup.apply(run.id()).filter((backend) -> backend.entry().incarnation().mayEqual(run)).map(Backend::limit);
 	}
 
 	// Divides the demand for a service among its limited servers in proportion to their
@@ -153,7 +153,7 @@
 		return limited.stream().filter(Backend::takesNewWork).map((backend) -> {
 			String service = backend.entry().service();
 			double wanted = arrivalRate(service, nowMillis) * usableRate(backend) / rates.get(service);
-			return new Wish(backend.entry().run(), new RateDemand(backend.limit().known().perSecond(), wanted,
+			return new Wish(backend.entry().incarnation(), new RateDemand(backend.limit().known().perSecond(), wanted,
 					backend.limit().grantedPerSecond(nowMillis), waiting(service)));
 		}).toList();
 	}
@@ -206,7 +206,7 @@
 	 * @param run the incarnation of the server
 	 * @param limit the announced limit
 	 */
-	public record LimitAnnouncement(BackendRun run, LimitReport limit) {
+	public record LimitAnnouncement(BackendIncarnation run, LimitReport limit) {
 
 	}
 
@@ -216,7 +216,7 @@
 	 * @param run the incarnation of the server
 	 * @param wish the demand
 	 */
-	public record Wish(BackendRun run, RateDemand wish) {
+	public record Wish(BackendIncarnation run, RateDemand wish) {
 
 	}
 
@@ -226,7 +226,7 @@
 	 * @param run the incarnation of the server
 	 * @param grant the share
 	 */
-	public record Grant(BackendRun run, RateGrant grant) {
+	public record Grant(BackendIncarnation run, RateGrant grant) {
 
 	}
 
--- a/gateway/src/main/java/org/snowwind/gateway/expert/CountWindows.java
+++ b/gateway/src/main/java/org/snowwind/gateway/expert/CountWindows.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 import java.util.Optional;
 
-import org.snowwind.gateway.registry.BackendRun;
+import org.snowwind.gateway.registry.BackendIncarnation;
 
 /**
  * Turns the running counts of ranks into what was chosen since each was last read.
@@ -18,7 +18,7 @@
 	 */
 	private static final long MOST_SINCE_MILLIS = 1000;
 
-	private final Map<BackendRun, CountsRead> lastByRun = new HashMap<>();
+	private final Map<BackendIncarnation, CountsRead> lastByRun = new HashMap<>();
 
 	/**
 	 * Forgets all reads, since the ranks have begun to count anew.
@@ -36,7 +36,7 @@
 	 * @return how often each was chosen since the last read, empty if there was none or
 	 * it is too long ago
 	 */
-	Optional<long[][]> since(BackendRun run, long[][] counts, long nowMillis) {
+	Optional<long[][]> since(BackendIncarnation run, long[][] counts, long nowMillis) {
 		CountsRead last = this.lastByRun.put(run, new CountsRead(counts, nowMillis));
 		if (last == null || nowMillis - last.atMillis() > MOST_SINCE_MILLIS) {
 			return Optional.empty();
--- a/gateway/src/main/java/org/snowwind/gateway/expert/DemandReader.java
+++ b/gateway/src/main/java/org/snowwind/gateway/expert/DemandReader.java
@@ -5,7 +5,7 @@
 import java.util.Optional;
 import java.util.function.LongSupplier;
 
-import org.snowwind.gateway.registry.BackendRun;
+import org.snowwind.gateway.registry.BackendIncarnation;
 import org.snowwind.gateway.table.EngineProfile;
 import org.snowwind.model.MonotonicClock;
 import org.snowwind.model.event.Event;
@@ -104,7 +104,7 @@
 		List<Optional<RankCounts>> answers = this.calls.counts(counted);
 		List<long[][]> chosen = new ArrayList<>();
 		for (int i = 0; i < counted.size(); i++) {
-			BackendRun run = counted.get(i).run();
+			BackendIncarnation run = counted.get(i).run();
 			answers.get(i)
 				.map((counts) -> counts.bySet(this.profile.expertSets(), this.profile.experts()))
 				.flatMap((counts) -> this.windows.since(run, counts, nowMillis))
--- a/gateway/src/main/java/org/snowwind/gateway/expert/ExpertDuty.java
+++ b/gateway/src/main/java/org/snowwind/gateway/expert/ExpertDuty.java
@@ -12,7 +12,7 @@
 import org.snowwind.balance.plan.IncrementalPlanner;
 import org.snowwind.gateway.limit.ServerCalls;
 import org.snowwind.gateway.registry.BackendEntry;
-import org.snowwind.gateway.registry.BackendRun;
+import org.snowwind.gateway.registry.BackendIncarnation;
 import org.snowwind.gateway.registry.Registry;
 import org.snowwind.gateway.registry.RegistryHolder;
 import org.snowwind.gateway.table.EngineProfile;
@@ -244,7 +244,7 @@
 	private void discover(ServiceEntry service, Registry registry) {
 		Map<String, List<BackendEntry>> members = new HashMap<>();
 		for (BackendEntry server : registry.list()) {
-			String group = this.local.groups().get(server.run());
+			String group = this.local.groups().get(server.incarnation());
 			if (group != null && server.service().equals(service.name())) {
 				members.computeIfAbsent(group, (name) -> new ArrayList<>()).add(server);
 			}
@@ -321,7 +321,7 @@
 	 * @param groups the group of each server of which it is known
 	 */
 	public record Local(String name, BooleanSupplier candidate, ToLongFunction<String> passJumpedMillis,
-			Map<BackendRun, String> groups) {
+			Map<BackendIncarnation, String> groups) {
 
 	}
 
--- a/gateway/src/main/java/org/snowwind/gateway/expert/GroupBook.java
+++ b/gateway/src/main/java/org/snowwind/gateway/expert/GroupBook.java
@@ -5,7 +5,7 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import org.snowwind.gateway.registry.BackendRun;
+import org.snowwind.gateway.registry.BackendIncarnation;
 import org.snowwind.model.Json;
 import org.snowwind.model.event.Event;
 import org.snowwind.model.event.EventLog;
@@ -39,19 +39,19 @@
 	 * @return the group of each server that is in it, none if the platform does not
 	 * answer
 	 */
-	Map<BackendRun, String> read() {
+	Map<BackendIncarnation, String> read() {
 		return this.store.getStale(KEY)
-			.match((object) -> membersOf(object.value()), Map::<BackendRun, String>of,
-					(reason) -> Map.<BackendRun, String>of());
+			.match((object) -> membersOf(object.value()), Map::<BackendIncarnation, String>of,
+					(reason) -> Map.<BackendIncarnation, String>of());
 	}
 
-	private static Map<BackendRun, String> membersOf(JsonNode value) {
-		Map<BackendRun, String> members = new HashMap<>();
+	private static Map<BackendIncarnation, String> membersOf(JsonNode value) {
+		Map<BackendIncarnation, String> members = new HashMap<>();
 		if (value != null) {
 			value.properties()
 				.forEach((group) -> group.getValue()
 					.properties()
-					.forEach((server) -> members.put(new BackendRun(server.getKey(), server.getValue().asLong()),
+					.forEach((server) -> members.put(new BackendIncarnation(server.getKey(), server.getValue().asLong()),
 							group.getKey())));
 		}
 		return members;
@@ -62,7 +62,7 @@
 	 * @param members the group of each server
 	 * @return whether it stands
 	 */
-	boolean write(Map<BackendRun, String> members) {
+	boolean write(Map<BackendIncarnation, String> members) {
 		Long revision = this.store.get(KEY).match(StoredObject::revision, () -> 0L, (reason) -> null);
 		if (revision == null) {
 			return false;
--- a/gateway/src/main/java/org/snowwind/gateway/expert/GroupDirectory.java
+++ b/gateway/src/main/java/org/snowwind/gateway/expert/GroupDirectory.java
@@ -13,7 +13,7 @@
 
 import org.snowwind.gateway.limit.ServerCalls;
 import org.snowwind.gateway.registry.BackendEntry;
-import org.snowwind.gateway.registry.BackendRun;
+import org.snowwind.gateway.registry.BackendIncarnation;
 import org.snowwind.http.client.JsonClient;
 import org.snowwind.model.MonotonicClock;
 import org.snowwind.store.ObjectStore;
@@ -52,13 +52,13 @@
 
 	private final Sources sources;
 
-	private final BiConsumer<BackendRun, String> found;
+	private final BiConsumer<BackendIncarnation, String> found;
 
 	private final MonotonicClock clock;
 
-	private final Map<BackendRun, String> known = new ConcurrentHashMap<>();
+	private final Map<BackendIncarnation, String> known = new ConcurrentHashMap<>();
 
-	private final Map<BackendRun, Long> askMillis = new HashMap<>();
+	private final Map<BackendIncarnation, Long> askMillis = new HashMap<>();
 
 	private long nextReadMillis = Long.MIN_VALUE;
 
@@ -75,7 +75,7 @@
 	 * @param clock tells the time
 	 */
 	public GroupDirectory(JsonClient client, RankProtocol protocol, ServerCalls made, ObjectStore store,
-			Sources sources, BiConsumer<BackendRun, String> found, MonotonicClock clock) {
+			Sources sources, BiConsumer<BackendIncarnation, String> found, MonotonicClock clock) {
 		this.calls = RankCalls.of(client, protocol, made);
 		this.book = new GroupBook(store);
 		this.sources = sources;
@@ -88,7 +88,7 @@
 	 */
 	public void round() {
 		List<BackendEntry> missing = this.sources.ungrouped().get();
-		Set<BackendRun> runs = missing.stream().map(BackendEntry::run).collect(Collectors.toSet());
+		Set<BackendIncarnation> runs = missing.stream().map(BackendEntry::incarnation).collect(Collectors.toSet());
 		this.askMillis.keySet().retainAll(runs);
 		if (!missing.isEmpty()) {
 			ask(due(unwrittenOf(missing)));
@@ -103,7 +103,7 @@
 	 * Returns the group of each server of which it is known.
 	 * @return the names of groups by the life of the server, a view that changes
 	 */
-	public Map<BackendRun, String> known() {
+	public Map<BackendIncarnation, String> known() {
 		return this.known;
 	}
 
@@ -113,12 +113,12 @@
 			return missing;
 		}
 		this.nextReadMillis = nowMillis + READ_MILLIS;
-		Map<BackendRun, String> written = this.book.read();
+		Map<BackendIncarnation, String> written = this.book.read();
 		List<BackendEntry> left = new ArrayList<>();
 		for (BackendEntry server : missing) {
-			String group = written.get(server.run());
+			String group = written.get(server.incarnation());
 			if (group != null) {
-				learn(server.run(), group);
+				learn(server.incarnation(), group);
 			}
 			else {
 				left.add(server);
@@ -133,7 +133,7 @@
 			return missing;
 		}
 		return missing.stream()
-			.filter((server) -> nowMillis >= this.askMillis.computeIfAbsent(server.run(),
+			.filter((server) -> nowMillis >= this.askMillis.computeIfAbsent(server.incarnation(),
 					(run) -> nowMillis + PATIENCE_MILLIS))
 			.toList();
 	}
@@ -144,10 +144,10 @@
 			return;
 		}
 		long againMillis = this.clock.nowMillis() + ASK_AGAIN_MILLIS;
-		Map<String, BackendRun> runs = new HashMap<>();
+		Map<String, BackendIncarnation> runs = new HashMap<>();
 		servers.forEach((server) -> {
-			this.askMillis.put(server.run(), againMillis);
-			runs.put(server.id(), server.run());
+			this.askMillis.put(server.incarnation(), againMillis);
+			runs.put(server.id(), server.incarnation());
 		});
 		this.calls.reports(servers).forEach((rank) -> {
 			learn(runs.get(rank.serverId()), rank.report().group());
@@ -155,7 +155,7 @@
 		});
 	}
 
-	private void learn(BackendRun run, String group) {
+	private void learn(BackendIncarnation run, String group) {
 		this.known.put(run, group);
 		this.found.accept(run, group);
 	}
@@ -167,7 +167,7 @@
 	 * @param registered lists the lives of all servers
 	 * @param planning tells whether this gateway plans maps
 	 */
-	public record Sources(Supplier<List<BackendEntry>> ungrouped, Supplier<Set<BackendRun>> registered,
+	public record Sources(Supplier<List<BackendEntry>> ungrouped, Supplier<Set<BackendIncarnation>> registered,
 			BooleanSupplier planning) {
 
 	}
--- a/gateway/src/main/java/org/snowwind/gateway/expert/Rank.java
+++ b/gateway/src/main/java/org/snowwind/gateway/expert/Rank.java
@@ -1,6 +1,6 @@
 package org.snowwind.gateway.expert;
 
-import org.snowwind.gateway.registry.BackendRun;
+import org.snowwind.gateway.registry.BackendIncarnation;
 
 /**
  * One rank of a group, as of its last report.
@@ -9,7 +9,7 @@
  * @param address where it listens, {@code IP:PORT}
  * @param report what it says of itself
  */
-record Rank(BackendRun run, String address, RankReport report) {
+record Rank(BackendIncarnation run, String address, RankReport report) {
 
 	String serverId() {
 		return this.run.id();
--- a/gateway/src/main/java/org/snowwind/gateway/expert/RankCalls.java
+++ b/gateway/src/main/java/org/snowwind/gateway/expert/RankCalls.java
@@ -12,7 +12,7 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import org.snowwind.gateway.limit.ServerCalls;
 import org.snowwind.gateway.registry.BackendEntry;
-import org.snowwind.gateway.registry.BackendRun;
+import org.snowwind.gateway.registry.BackendIncarnation;
 import org.snowwind.gateway.table.DocumentException;
 import org.snowwind.http.client.JsonClient;
 import org.snowwind.http.client.JsonClient.JsonAnswer;
@@ -96,25 +96,25 @@
 	List<Rank> reports(List<BackendEntry> servers) {
 		List<CompletableFuture<JsonAnswer>> pending = new ArrayList<>();
 		for (BackendEntry server : servers) {
-			pending.add(get(server.run(), server.address(), this.protocol.reportPath()));
+			pending.add(get(server.incarnation(), server.address(), this.protocol.reportPath()));
 		}
 		List<Rank> ranks = new ArrayList<>();
 		for (int i = 0; i < servers.size(); i++) {
 			BackendEntry server = servers.get(i);
 			read(pending.get(i), this.protocol::report, server.id()).filter((report) -> report.group() != null)
-				.filter((report) -> sameLife(server.run(), report.bornMillis()))
+				.filter((report) -> sameLife(server.incarnation(), report.bornMillis()))
 				.ifPresent((report) -> ranks.add(rankOf(server, report)));
 		}
 		return ranks;
 	}
 
 	private static Rank rankOf(BackendEntry server, RankReport report) {
-		return new Rank(new BackendRun(server.id(), report.bornMillis()), server.address(), report);
+		return new Rank(new BackendIncarnation(server.id(), report.bornMillis()), server.address(), report);
 	}
 
 	// What another life of a server says changes nothing: it holds nothing of this one.
-	private static boolean sameLife(BackendRun run, long bornMillis) {
-		boolean same = run.mayBe(new BackendRun(run.id(), bornMillis));
+	private static boolean sameLife(BackendIncarnation run, long bornMillis) {
+		boolean same = run.mayEqual(new BackendIncarnation(run.id(), bornMillis));
 		if (!same) {
 			EventLog.log(Event.RANK_SILENT, "server", run.id(), "reason",
 					"born at " + bornMillis + ", expected " + run.bornMillis());
@@ -131,7 +131,7 @@
 		List<Optional<RankCounts>> answers = askAll(ranks, this.protocol.countsPath(), this.protocol::counts);
 		List<Optional<RankCounts>> ofThisLife = new ArrayList<>();
 		for (int i = 0; i < ranks.size(); i++) {
-			BackendRun run = ranks.get(i).run();
+			BackendIncarnation run = ranks.get(i).run();
 			ofThisLife.add(answers.get(i).filter((counts) -> sameLife(run, counts.bornMillis())));
 		}
 		return ofThisLife;
@@ -158,14 +158,14 @@
 		return answers;
 	}
 
-	private CompletableFuture<JsonAnswer> get(BackendRun run, String address, String path) {
+	private CompletableFuture<JsonAnswer> get(BackendIncarnation run, String address, String path) {
 		if (!this.made.acquire(run.id())) {
 			return backsOff();
 		}
 		return start("GET", run, "http://" + address + path, null, CALL_MILLIS);
 	}
 
-	private CompletableFuture<JsonAnswer> start(String method, BackendRun run, String url, byte[] body,
+	private CompletableFuture<JsonAnswer> start(String method, BackendIncarnation run, String url, byte[] body,
 			long timeoutMillis) {
 		long sentMillis = this.made.nowMillis();
 		return this.client.start(method, url, this.protocol.headers(run.id()), body, timeoutMillis)
@@ -226,7 +226,7 @@
 		return results;
 	}
 
-	private OrderResult resultOf(CompletableFuture<JsonAnswer> pending, BackendRun run) {
+	private OrderResult resultOf(CompletableFuture<JsonAnswer> pending, BackendIncarnation run) {
 		try {
 			JsonAnswer answer = pending.get();
 			boolean same = sameLife(run, this.protocol.bornMillis(answer.body()));
--- a/gateway/src/main/java/org/snowwind/gateway/expert/RankCounts.java
+++ b/gateway/src/main/java/org/snowwind/gateway/expert/RankCounts.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-import org.snowwind.gateway.registry.BackendRun;
+import org.snowwind.gateway.registry.BackendIncarnation;
 
 /**
  * How often a rank's requests chose each expert since the rank started.
@@ -11,7 +11,7 @@
  * @param counts how often, all experts of the first set, then all of the second, and so
  * on
  * @param bornMillis when the rank was started, in Unix milliseconds by its own clock;
- * {@link BackendRun#UNKNOWN} if it does not say
+ * {@link BackendIncarnation#UNKNOWN} if it does not say
  */
 public record RankCounts(long epoch, List<Long> counts, long bornMillis) {
 
--- a/gateway/src/main/java/org/snowwind/gateway/expert/RankProtocol.java
+++ b/gateway/src/main/java/org/snowwind/gateway/expert/RankProtocol.java
@@ -5,7 +5,7 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import org.snowwind.decide.notice.ServerNotice;
-import org.snowwind.gateway.registry.BackendRun;
+import org.snowwind.gateway.registry.BackendIncarnation;
 import org.snowwind.gateway.table.DocumentException;
 
 /**
@@ -80,7 +80,7 @@
 	/**
 	 * Reads from any answer of a rank when the rank was started.
 	 * @param document the answer
-	 * @return the Unix milliseconds, {@link BackendRun#UNKNOWN} if it does not say
+	 * @return the Unix milliseconds, {@link BackendIncarnation#UNKNOWN} if it does not say
 	 * @throws DocumentException if it says something that is no such number
 	 */
 	long bornMillis(JsonNode document) throws DocumentException;
--- a/gateway/src/main/java/org/snowwind/gateway/expert/RankReport.java
+++ b/gateway/src/main/java/org/snowwind/gateway/expert/RankReport.java
@@ -1,6 +1,6 @@
 package org.snowwind.gateway.expert;
 
-import org.snowwind.gateway.registry.BackendRun;
+import org.snowwind.gateway.registry.BackendIncarnation;
 
 /**
  * What a rank says of itself, as of some hundred milliseconds ago.
@@ -16,7 +16,7 @@
  * @param armedVersion the version that it will run from some pass on; 0 for none
  * @param heldStep the pass that it may not begin; -1 for none
  * @param bornMillis when it was started, in Unix milliseconds by its own clock;
- * {@link BackendRun#UNKNOWN} if it does not say
+ * {@link BackendIncarnation#UNKNOWN} if it does not say
  */
 public record RankReport(String group, long epoch, int rank, int size, boolean open, long step, long mapVersion,
 		long preparedVersion, long armedVersion, long heldStep, long bornMillis) {
--- a/gateway/src/main/java/org/snowwind/gateway/limit/LimitMessages.java
+++ b/gateway/src/main/java/org/snowwind/gateway/limit/LimitMessages.java
@@ -8,7 +8,7 @@
 import org.snowwind.gateway.backend.SharedLimits.Grant;
 import org.snowwind.gateway.backend.SharedLimits.Wish;
 import org.snowwind.gateway.backend.SharedLimits.LimitAnnouncement;
-import org.snowwind.gateway.registry.BackendRun;
+import org.snowwind.gateway.registry.BackendIncarnation;
 import org.snowwind.wire.generated.LimitGrant;
 import org.snowwind.wire.generated.LimitNews;
 import org.snowwind.wire.generated.LimitWish;
@@ -43,7 +43,7 @@
 	 */
 	public static List<LimitAnnouncement> fromMessages(List<LimitNews> messages, long nowMillis) {
 		return messages.stream()
-			.map((message) -> new LimitAnnouncement(new BackendRun(message.getServer(), message.getBornMillis()),
+			.map((message) -> new LimitAnnouncement(new BackendIncarnation(message.getServer(), message.getBornMillis()),
 					new LimitReport(message.getPerSecond(), nowMillis - Math.max(0, message.getAgeMillis()))))
 			.toList();
 	}
@@ -55,7 +55,7 @@
 	}
 
 	static Wish toWish(LimitWish message) {
-		return new Wish(new BackendRun(message.getServer(), message.getBornMillis()),
+		return new Wish(new BackendIncarnation(message.getServer(), message.getBornMillis()),
 				new RateDemand(message.getLimitPerSecond(), message.getWantedPerSecond(), message.getHeldPerSecond(),
 						message.getWaiting()));
 	}
@@ -67,7 +67,7 @@
 	}
 
 	static Grant toGrant(LimitGrant message) {
-		return new Grant(new BackendRun(message.getServer(), message.getBornMillis()),
+		return new Grant(new BackendIncarnation(message.getServer(), message.getBornMillis()),
 				new RateGrant(message.getLimitPerSecond(), message.getPerSecond(), message.getBurst(),
 						message.getSingles(), message.getValidMillis()));
 	}
--- a/gateway/src/main/java/org/snowwind/gateway/limit/RateAllocators.java
+++ b/gateway/src/main/java/org/snowwind/gateway/limit/RateAllocators.java
@@ -9,7 +9,7 @@
 import org.snowwind.decide.limit.RateAllocator;
 import org.snowwind.gateway.backend.SharedLimits.Grant;
 import org.snowwind.gateway.backend.SharedLimits.Wish;
-import org.snowwind.gateway.registry.BackendRun;
+import org.snowwind.gateway.registry.BackendIncarnation;
 
 /**
  * The granted shares of the rates of all servers that this process coordinates.
@@ -17,7 +17,7 @@
  */
 final class RateAllocators {
 
-	private final Map<BackendRun, RateAllocator> byRun = new HashMap<>();
+	private final Map<BackendIncarnation, RateAllocator> byRun = new HashMap<>();
 
 	/**
 	 * Grants shares to a process.
--- a/gateway/src/main/java/org/snowwind/gateway/limit/ServerCalls.java
+++ b/gateway/src/main/java/org/snowwind/gateway/limit/ServerCalls.java
@@ -8,7 +8,7 @@
 import io.micrometer.core.instrument.MeterRegistry;
 import org.snowwind.decide.limit.CallAllowance;
 import org.snowwind.decide.notice.ServerNotice;
-import org.snowwind.gateway.registry.BackendRun;
+import org.snowwind.gateway.registry.BackendIncarnation;
 import org.snowwind.model.MonotonicClock;
 
 /**
@@ -135,7 +135,7 @@
 	 * @param notice what the head announces
 	 * @param sentMillis when the call was sent, see {@link #nowMillis()}
 	 */
-	public void onResponseHead(BackendRun run, ServerNotice notice, long sentMillis) {
+	public void onResponseHead(BackendIncarnation run, ServerNotice notice, long sentMillis) {
 		if (!notice.equals(ServerNotice.NONE)) {
 			this.notices.onNotice(run, notice, sentMillis);
 		}
@@ -172,7 +172,7 @@
 		 * @param notice what it announces
 		 * @param sentMillis when the call was sent, in milliseconds
 		 */
-		void onNotice(BackendRun run, ServerNotice notice, long sentMillis);
+		void onNotice(BackendIncarnation run, ServerNotice notice, long sentMillis);
 
 	}
 
--- a/gateway/src/main/java/org/snowwind/gateway/peer/CallRota.java
+++ b/gateway/src/main/java/org/snowwind/gateway/peer/CallSchedule.java
@@ -11,7 +11,7 @@
  * Spreads the calls to all peers over a period, so that information that peers relay
  * reaches all of them within a fraction of the period. Confined to one thread.
  */
-final class CallRota {
+final class CallSchedule {
 
 	private static final double MIN_FIRST_DELAY_PERIODS = 0.5;
 
@@ -26,7 +26,7 @@
 	 * @param ownAddress the address of this gateway; it determines the offsets of the
 	 * calls, so that gateways that start together call a peer at different times
 	 */
-	CallRota(String ownAddress) {
+	CallSchedule(String ownAddress) {
 		this.ownAddress = ownAddress;
 	}
 
--- a/gateway/src/main/java/org/snowwind/gateway/peer/GatewayDirectory.java
+++ b/gateway/src/main/java/org/snowwind/gateway/peer/GatewayDirectory.java
@@ -70,7 +70,7 @@
 	/**
 	 * Lists the other gateways, and writes the own entry if it is missing or outdated.
 	 */
-	public void round() {
+	public void refresh() {
 		this.store.list(PREFIX).match((listing) -> {
 			processListing(listing);
 			return true;
--- a/gateway/src/main/java/org/snowwind/gateway/peer/PeerMesh.java
+++ b/gateway/src/main/java/org/snowwind/gateway/peer/PeerMesh.java
@@ -66,7 +66,7 @@
 
 	private final DocumentFetches fetches;
 
-	private final CallRota schedule;
+	private final CallSchedule schedule;
 
 	private final Consumers consumers;
 
@@ -99,7 +99,7 @@
 		this.calls = calls;
 		this.ownReport = ownReport;
 		this.claims = claims;
-		this.schedule = new CallRota(peers.ownAddress());
+		this.schedule = new CallSchedule(peers.ownAddress());
 		this.fetches = new DocumentFetches(fetchGraceMillis, CALL_TIMEOUT_MILLIS);
 		this.consumers = consumers;
 		this.clock = clock;
@@ -215,9 +215,9 @@
 		long nowMillis = this.clock.nowMillis();
 		this.peers.acceptReport(report, nowMillis);
 		if (report.isSetLimits() && !report.getLimits().isEmpty()) {
-			this.consumers.limitsHeard(LimitMessages.fromMessages(report.getLimits(), nowMillis));
+			this.consumers.limitsReported(LimitMessages.fromMessages(report.getLimits(), nowMillis));
 		}
-		this.consumers.tableTold(report.getTableVersion(), report.getControlAddress());
+		this.consumers.tableVersionReported(report.getTableVersion(), report.getControlAddress());
 		fetchIfNewer(GatewayDocument.TABLE, report.getTableVersion(), report.getControlAddress());
 		fetchIfNewer(GatewayDocument.REGISTRY, registryChangeRevision(report), report.getControlAddress());
 		publish(this.clock.nowMillis());
@@ -236,7 +236,7 @@
 
 	private void fetchIfNewer(GatewayDocument kind, long peerRevision, String address) {
 		long own = this.documents.revisionOf(kind);
-		if (!this.fetches.tryBegin(kind, peerRevision, own, this.consumers.isStoreAway(), this.clock.nowMillis())) {
+		if (!this.fetches.tryBegin(kind, peerRevision, own, this.consumers.isStoreUnavailable(), this.clock.nowMillis())) {
 			return;
 		}
 		ThriftLink<GatewayControl.AsyncClient> link = this.links.computeIfAbsent(address, this::connect);
@@ -276,7 +276,7 @@
 	 * Processes the platform's list of gateways.
 	 * @param addresses the control addresses of all other gateways in the list
 	 */
-	public void listed(List<String> addresses) {
+	public void acceptPlatformList(List<String> addresses) {
 		this.thread.offer(() -> {
 			this.fleet.listed(addresses.size());
 			addresses.forEach((address) -> this.peers.addCandidate(address, this.clock.nowMillis()));
@@ -287,7 +287,7 @@
 	 * Adds addresses at which there may be peers.
 	 * @param addresses the control addresses
 	 */
-	public void mayBeAt(List<String> addresses) {
+	public void addCandidates(List<String> addresses) {
 		this.thread
 			.offer(() -> addresses.forEach((address) -> this.peers.addCandidate(address, this.clock.nowMillis())));
 	}
@@ -306,7 +306,7 @@
 	 * @param liveByName the control addresses of the live gateways that are not leaving,
 	 * by name
 	 * @param liveAddresses the control addresses of the live gateways
-	 * @param promptNames the names of the gateways that have reported within the
+	 * @param recentNames the names of the gateways that have reported within the
 	 * planner's timeout and are not leaving
 	 * @param plannerFence the highest fencing token under which a gateway that has
 	 * reported within the planner's timeout plans expert maps, 0 if none does
@@ -314,7 +314,7 @@
 	 * reach the store
 	 */
 	public record View(int fleetSize, Map<String, String> liveByName, Set<String> liveAddresses,
-			Set<String> promptNames, long plannerFence, Set<String> confirmingNames) {
+			Set<String> recentNames, long plannerFence, Set<String> confirmingNames) {
 
 	}
 
@@ -327,7 +327,7 @@
 		 * Returns whether the platform's store does not answer this process.
 		 * @return true if the store is unavailable
 		 */
-		boolean isStoreAway();
+		boolean isStoreUnavailable();
 
 		/**
 		 * Called when a peer has reported the version of the route table that it has in
@@ -335,7 +335,7 @@
 		 * @param version the version
 		 * @param peer the peer's control address
 		 */
-		void tableTold(long version, String peer);
+		void tableVersionReported(long version, String peer);
 
 		/**
 		 * Called when the in-flight requests of the peers may have changed.
@@ -349,7 +349,7 @@
 		 * Called when a peer has relayed the limits that servers reported.
 		 * @param words the reported limits, with times by the own clock
 		 */
-		void limitsHeard(List<SharedLimits.LimitAnnouncement> words);
+		void limitsReported(List<SharedLimits.LimitAnnouncement> words);
 
 	}
 
--- a/gateway/src/main/java/org/snowwind/gateway/peer/StoreClaims.java
+++ b/gateway/src/main/java/org/snowwind/gateway/peer/StoreClaims.java
@@ -52,7 +52,7 @@
 	 * Adds the claims of this process to a report.
 	 * @param report the report
 	 */
-	public void write(GatewayReport report) {
+	public void addClaims(GatewayReport report) {
 		// The clock is read first, so that a peer does not underestimate the age of a
 		// claim.
 		report.setComposedMillis(this.clock.nowMillis());
--- a/gateway/src/main/java/org/snowwind/gateway/registry/BackendEntry.java
+++ b/gateway/src/main/java/org/snowwind/gateway/registry/BackendEntry.java
@@ -7,7 +7,7 @@
  *
  * @param id the id of the server, which may stay the same after a restart
  * @param bornMillis the start time of the server, in Unix milliseconds by its own clock;
- * {@link BackendRun#UNKNOWN} if it does not report one
+ * {@link BackendIncarnation#UNKNOWN} if it does not report one
  * @param service the service that it serves
  * @param host its IP address
  * @param port its port
@@ -23,8 +23,8 @@
 	 * Returns the incarnation of the server that has registered.
 	 * @return the incarnation
 	 */
-	public BackendRun run() {
-		return new BackendRun(this.id, this.bornMillis);
+	public BackendIncarnation incarnation() {
+		return new BackendIncarnation(this.id, this.bornMillis);
 	}
 
 	/**
--- a/gateway/src/main/java/org/snowwind/gateway/registry/BackendRun.java
+++ b/gateway/src/main/java/org/snowwind/gateway/registry/BackendIncarnation.java
@@ -12,7 +12,7 @@
  * @param bornMillis the start time of the server, in Unix milliseconds by its own clock;
  * {@link #UNKNOWN} if it does not report one
  */
-public record BackendRun(String id, long bornMillis) {
+public record BackendIncarnation(String id, long bornMillis) {
 
 	/** The start time of a server that does not report one. */
 	public static final long UNKNOWN = 0;
@@ -23,8 +23,8 @@
 	 * @return an incarnation with an unknown start time, which may be any one of the
 	 * server
 	 */
-	public static BackendRun of(String id) {
-		return new BackendRun(id, UNKNOWN);
+	public static BackendIncarnation of(String id) {
+		return new BackendIncarnation(id, UNKNOWN);
 	}
 
 	/**
@@ -35,7 +35,7 @@
 	 * @param other the other incarnation
 	 * @return false if the ids differ, or if both start times are known and differ
 	 */
-	public boolean mayBe(BackendRun other) {
+	public boolean mayEqual(BackendIncarnation other) {
 		return this.id.equals(other.id)
 				&& (this.bornMillis == other.bornMillis || this.bornMillis == UNKNOWN || other.bornMillis == UNKNOWN);
 	}
--- a/gateway/src/main/java/org/snowwind/gateway/registry/RegistryWatcher.java
+++ b/gateway/src/main/java/org/snowwind/gateway/registry/RegistryWatcher.java
@@ -118,7 +118,7 @@
 	 * Returns the number of entries whose current value cannot be decoded.
 	 * @return the number of entries, bounded by the limit on remembered entries
 	 */
-	public int unreadable() {
+	public int unreadableCount() {
 		return this.unreadableEntries.count();
 	}
 
--- a/gateway/src/main/java/org/snowwind/gateway/request/Attempt.java
+++ b/gateway/src/main/java/org/snowwind/gateway/request/Attempt.java
@@ -7,7 +7,7 @@
 import org.snowwind.decide.outcome.AttemptEnd;
 import org.snowwind.gateway.backend.Backend;
 import org.snowwind.gateway.backend.BackendNotices;
-import org.snowwind.gateway.table.Repeat;
+import org.snowwind.gateway.table.RepeatPolicy;
 import org.snowwind.http.client.UpstreamCall;
 import org.snowwind.http.client.UpstreamListener;
 import org.snowwind.http.client.UpstreamRequest;
@@ -181,7 +181,7 @@
 			return;
 		}
 		this.status = answerStatus;
-		this.context.suspects().heard(this.backend.entry().run());
+		this.context.suspects().heard(this.backend.entry().incarnation());
 		ResponseMetadata metadata = this.context.dialect().readResponse(answerStatus, headers);
 		recordNotice(metadata);
 		if (metadata.rejected()) {
@@ -196,7 +196,7 @@
 			abort("the response is not a valid response to this request");
 			return;
 		}
-		if (this.request.route().repeat() == Repeat.STREAM) {
+		if (this.request.route().repeatPolicy() == RepeatPolicy.STREAM) {
 			this.streaming = true;
 			this.backend.onStreamStart(this.context.clock().nowMillis());
 		}
@@ -216,7 +216,7 @@
 	}
 
 	private ResponseBuffer bufferFor(int answerStatus, Map<String, String> headers) {
-		boolean stream = this.request.route().repeat() == Repeat.STREAM && answerStatus == ResponseBuffer.OK;
+		boolean stream = this.request.route().repeatPolicy() == RepeatPolicy.STREAM && answerStatus == ResponseBuffer.OK;
 		return stream ? ResponseBuffer.ofStream(headers, this.afterId)
 				: ResponseBuffer.ofPlainResponse(answerStatus, headers);
 	}
@@ -227,7 +227,7 @@
 			return;
 		}
 		restartIdleTimer(true);
-		this.context.suspects().heard(this.backend.entry().run());
+		this.context.suspects().heard(this.backend.entry().incarnation());
 		this.receivedBytes += bytes.length;
 		List<StreamEvent> events = this.response.append(bytes);
 		if (!events.isEmpty()) {
--- a/gateway/src/main/java/org/snowwind/gateway/request/GatewayHandler.java
+++ b/gateway/src/main/java/org/snowwind/gateway/request/GatewayHandler.java
@@ -152,7 +152,7 @@
 			}
 			CallerRequest request = new CallerRequest(metadata, exchange.method(), exchange.target(),
 					exchange.header("Host"), headers, body, routing.route(),
-					table.target(routing.route(), this.context.random()), routing.organisation(), table.version(),
+					table.chooseService(routing.route(), this.context.random()), routing.organisation(), table.version(),
 					arrivedMillis);
 			logRouted(request);
 			if (this.stop != null) {
@@ -187,7 +187,7 @@
 			return rejectByTable(ProblemKind.UNKNOWN_PATH, "no route matches this host and path");
 		}
 		Optional<KeyHolder> holder = (metadata.apiKey() != null) ? table.holderOf(metadata.apiKey()) : Optional.empty();
-		boolean keyRequired = table.keysNeeded() && !route.get().open();
+		boolean keyRequired = table.requiresKeys() && !route.get().open();
 		if (keyRequired && holder.isEmpty()) {
 			return rejectByTable(ProblemKind.UNKNOWN_ORGANISATION, "no organisation has this key");
 		}
@@ -208,7 +208,7 @@
 		TableFreshness.State freshness = this.freshness.state();
 		EventLog.log(Event.REQUEST_REFUSED, "request", metadata.requestId(), "kind", problem.kind().code(), "table",
 				table.version(), "unconfirmedMillis", freshness.unconfirmedMillis(), "toldVersion",
-				freshness.toldVersion(), "toldBy", freshness.toldBy(), "behindMillis", freshness.behindMillis());
+				freshness.newestPeerVersion(), "toldBy", freshness.newestPeerAddress(), "behindMillis", freshness.behindMillis());
 		openRequest.markEnded();
 		ErrorResponses.send(exchange, this.context.dialect(), metadata.requestId(), problem);
 	}
--- a/gateway/src/main/java/org/snowwind/gateway/request/Timing.java
+++ b/gateway/src/main/java/org/snowwind/gateway/request/Timing.java
@@ -2,7 +2,7 @@
 
 import java.util.random.RandomGenerator;
 
-import org.snowwind.gateway.table.Repeat;
+import org.snowwind.gateway.table.RepeatPolicy;
 import org.snowwind.gateway.table.Route;
 
 /**
@@ -61,7 +61,7 @@
 	private static final double RETURN_SPREAD_TARGET_SHARE = 0.5;
 
 	static Timing of(Route route) {
-		return new Timing(route.repeat() == Repeat.STREAM, route.targetMillis());
+		return new Timing(route.repeatPolicy() == RepeatPolicy.STREAM, route.targetMillis());
 	}
 
 	int maxWaitingAtServer() {
--- a/gateway/src/main/java/org/snowwind/gateway/suspect/EndWatch.java
+++ b/gateway/src/main/java/org/snowwind/gateway/suspect/EndWatch.java
@@ -5,7 +5,7 @@
 import java.util.function.BiConsumer;
 
 import org.snowwind.gateway.registry.BackendEntry;
-import org.snowwind.gateway.registry.BackendRun;
+import org.snowwind.gateway.registry.BackendIncarnation;
 import org.snowwind.model.MonotonicClock;
 
 /**
@@ -49,7 +49,7 @@
 
 	private final Listener listener;
 
-	private final Map<BackendRun, Case> cases = new LinkedHashMap<>();
+	private final Map<BackendIncarnation, Case> cases = new LinkedHashMap<>();
 
 	/**
 	 * Creates a watch.
@@ -74,14 +74,14 @@
 	void broke(BackendEntry server, Suspect request, boolean lostConnection) {
 		long nowMillis = this.clock.nowMillis();
 		this.cases.values().removeIf((standing) -> nowMillis - standing.brokeMillis > KEEP_MILLIS);
-		Case standing = this.cases.get(server.run());
+		Case standing = this.cases.get(server.incarnation());
 		if (standing == null) {
 			// What we gave up before its server ended was no longer there at the end.
 			if (!lostConnection || this.cases.size() >= MOST_CASES) {
 				return;
 			}
 			standing = new Case(server, nowMillis);
-			this.cases.put(server.run(), standing);
+			this.cases.put(server.incarnation(), standing);
 		}
 		standing.add(request);
 		if (lostConnection && !standing.looking && !standing.ended) {
@@ -92,7 +92,7 @@
 
 	private void look(Case looked, int looks, boolean refusedBefore) {
 		this.probe.ask(looked.server.host(), looked.server.port(), (gone) -> {
-			if (this.cases.get(looked.server.run()) != looked) {
+			if (this.cases.get(looked.server.incarnation()) != looked) {
 				return;
 			}
 			if (gone && refusedBefore) {
@@ -103,7 +103,7 @@
 				this.later.after(LOOK_AGAIN_MILLIS, () -> look(looked, looks + 1, gone));
 			}
 			else {
-				this.cases.remove(looked.server.run());
+				this.cases.remove(looked.server.incarnation());
 			}
 		});
 	}
@@ -112,7 +112,7 @@
 	 * Takes note of a byte of a server: that life of it has not ended.
 	 * @param server which life
 	 */
-	void heard(BackendRun server) {
+	void heard(BackendIncarnation server) {
 		if (this.cases.isEmpty()) {
 			return;
 		}
@@ -156,7 +156,7 @@
 		 * A server that was told to have ended has not.
 		 * @param server which life
 		 */
-		void lives(BackendRun server);
+		void lives(BackendIncarnation server);
 
 	}
 
--- a/gateway/src/main/java/org/snowwind/gateway/suspect/Suspects.java
+++ b/gateway/src/main/java/org/snowwind/gateway/suspect/Suspects.java
@@ -5,7 +5,7 @@
 import org.snowwind.decide.blame.Blame;
 import org.snowwind.decide.blame.ServerEnd;
 import org.snowwind.gateway.registry.BackendEntry;
-import org.snowwind.gateway.registry.BackendRun;
+import org.snowwind.gateway.registry.BackendIncarnation;
 import org.snowwind.gateway.suspect.SuspectDocument.SeenEnd;
 import org.snowwind.http.DataLoop;
 import org.snowwind.model.MonotonicClock;
@@ -93,12 +93,12 @@
 	 * Takes note of a byte of a server.
 	 * @param server which life of it
 	 */
-	public void heard(BackendRun server) {
+	public void heard(BackendIncarnation server) {
 		this.ends.heard(server);
 	}
 
-	private static String nameOf(BackendRun server) {
-		return (server.bornMillis() == BackendRun.UNKNOWN) ? server.id() : server.id() + "@" + server.bornMillis();
+	private static String nameOf(BackendIncarnation server) {
+		return (server.bornMillis() == BackendIncarnation.UNKNOWN) ? server.id() : server.id() + "@" + server.bornMillis();
 	}
 
 	/**
@@ -133,12 +133,12 @@
 			EventLog.log(Event.SERVER_ENDED, "server", server.id(), "service", server.service(), "address",
 					server.address(), "digest", request.digest(), "organisation", request.organisation(), "ageMillis",
 					request.ageMillis());
-			Suspects.this.sightings.ended(new SeenEnd(new ServerEnd(request.digest(), nameOf(server.run())),
+			Suspects.this.sightings.ended(new SeenEnd(new ServerEnd(request.digest(), nameOf(server.incarnation())),
 					request.organisation(), request.ageMillis()));
 		}
 
 		@Override
-		public void lives(BackendRun server) {
+		public void lives(BackendIncarnation server) {
 			Suspects.this.sightings.lives(nameOf(server));
 		}
 
--- a/gateway/src/main/java/org/snowwind/gateway/table/Repeat.java
+++ b/gateway/src/main/java/org/snowwind/gateway/table/RepeatPolicy.java
@@ -3,7 +3,7 @@
 /**
  * Whether the requests of a route may run more than once.
  */
-public enum Repeat {
+public enum RepeatPolicy {
 
 	/** A request may run any number of times. */
 	IDEMPOTENT,
--- a/gateway/src/main/java/org/snowwind/gateway/table/Route.java
+++ b/gateway/src/main/java/org/snowwind/gateway/table/Route.java
@@ -10,7 +10,7 @@
  * @param name the name of the route
  * @param host the host, in lower case
  * @param pathPrefix the path prefix, with a slash at both ends
- * @param repeat whether its requests may run more than once
+ * @param repeatPolicy whether its requests may run more than once
  * @param timeoutMillis the maximum time that a caller is kept waiting, in milliseconds
  * @param targetMillis the latency target of an answer or of a stream's first event, in
  * milliseconds
@@ -22,7 +22,7 @@
  * @param resumable whether a stream may be resumed at another server
  * @param shares the services and their weights, at least one
  */
-public record Route(String name, String host, String pathPrefix, Repeat repeat, long timeoutMillis, long targetMillis,
+public record Route(String name, String host, String pathPrefix, RepeatPolicy repeatPolicy, long timeoutMillis, long targetMillis,
 		long pauseTargetMillis, int priority, int maxAttempts, boolean open, boolean resumable, List<Share> shares) {
 
 	/**
@@ -38,7 +38,7 @@
 	 * @return true if the request may be repeated
 	 */
 	public boolean repeatable() {
-		return this.repeat == Repeat.IDEMPOTENT || (this.repeat == Repeat.STREAM && this.resumable);
+		return this.repeatPolicy == RepeatPolicy.IDEMPOTENT || (this.repeatPolicy == RepeatPolicy.STREAM && this.resumable);
 	}
 
 	/**
--- a/gateway/src/main/java/org/snowwind/gateway/table/RouteTable.java
+++ b/gateway/src/main/java/org/snowwind/gateway/table/RouteTable.java
@@ -87,7 +87,7 @@
 	 * Returns whether requests need an API key.
 	 * @return true if organisations are configured
 	 */
-	public boolean keysNeeded() {
+	public boolean requiresKeys() {
 		return !this.keys.isEmpty();
 	}
 
@@ -115,7 +115,7 @@
 	 * @param random the source of randomness
 	 * @return the service; a service that is not configured has no engine profile
 	 */
-	public ServiceEntry target(Route route, RandomGenerator random) {
+	public ServiceEntry chooseService(Route route, RandomGenerator random) {
 		String name = route.chooseService(random);
 		return service(name).orElseGet(() -> new ServiceEntry(name, null));
 	}
--- a/gateway/src/main/java/org/snowwind/gateway/table/TableFreshness.java
+++ b/gateway/src/main/java/org/snowwind/gateway/table/TableFreshness.java
@@ -57,7 +57,7 @@
 	 * @param version the version
 	 * @param peer the peer's address
 	 */
-	public synchronized void told(long version, String peer) {
+	public synchronized void recordPeerVersion(long version, String peer) {
 		long nowMillis = this.clock.nowMillis();
 		long inForce = this.tables.current().version();
 		if (version > this.newestPeerVersion) {
@@ -117,19 +117,19 @@
 	 * @param version the version of the table in force
 	 * @param unconfirmedMillis the time since the table was last confirmed to be the
 	 * newest, in milliseconds
-	 * @param toldVersion the newest version that a peer has reported, 0 if none has
-	 * @param toldBy the address of the peer that reported it first, empty if none has
+	 * @param newestPeerVersion the newest version that a peer has reported, 0 if none has
+	 * @param newestPeerAddress the address of the peer that reported it first, empty if none has
 	 * @param behindMillis the time since a peer first reported a newer version, in
 	 * milliseconds; 0 if no peer has reported one
 	 */
-	public record State(long version, long unconfirmedMillis, long toldVersion, String toldBy, long behindMillis) {
+	public record State(long version, long unconfirmedMillis, long newestPeerVersion, String newestPeerAddress, long behindMillis) {
 
 		/**
 		 * Returns whether a peer has reported a newer table.
 		 * @return true if a peer has reported a newer version than the one in force
 		 */
 		public boolean isBehind() {
-			return this.toldVersion > this.version;
+			return this.newestPeerVersion > this.version;
 		}
 
 	}
--- a/gateway/src/test/java/org/snowwind/gateway/backend/AdmissionTests.java
+++ b/gateway/src/test/java/org/snowwind/gateway/backend/AdmissionTests.java
@@ -13,7 +13,7 @@
 import org.snowwind.decide.notice.RampUp;
 import org.snowwind.decide.notice.ServerNotice;
 import org.snowwind.gateway.registry.BackendEntry;
-import org.snowwind.gateway.registry.BackendRun;
+import org.snowwind.gateway.registry.BackendIncarnation;
 import org.snowwind.gateway.registry.Registry;
 import org.snowwind.gateway.table.EngineProfile;
 import org.snowwind.model.ManualClock;
@@ -39,8 +39,8 @@
 	@BeforeEach
 	void registerOneRank() {
 		this.table.update(new Registry(1,
-				Map.of("r", new BackendEntry("r", BackendRun.UNKNOWN, "s", "10.0.0.1", 80, "dc", 2, false))));
-		this.table.recordGroup(BackendRun.of("r"), "g");
+				Map.of("r", new BackendEntry("r", BackendIncarnation.UNKNOWN, "s", "10.0.0.1", 80, "dc", 2, false))));
+		this.table.recordGroup(BackendIncarnation.of("r"), "g");
 	}
 
 	private Admission.Verdict decide(long arrivedMillis) {
@@ -99,7 +99,7 @@
 
 	private void grant(double perSecond) {
 		this.table.limits()
-			.applyGrants(List.of(new SharedLimits.Grant(BackendRun.of("r"), new RateGrant(4, perSecond, 1, 0, 60_000))),
+			.applyGrants(List.of(new SharedLimits.Grant(BackendIncarnation.of("r"), new RateGrant(4, perSecond, 1, 0, 60_000))),
 					this.clock.nowMillis());
 	}
 
@@ -154,10 +154,10 @@
 
 	@Test
 	void announcementsFromPeersAreAppliedAndForwarded() {
-		this.table.limits().onPeerAnnouncements(List.of(new SharedLimits.LimitAnnouncement(BackendRun.of("r"), new LimitReport(3, 9_000))));
+		this.table.limits().onPeerAnnouncements(List.of(new SharedLimits.LimitAnnouncement(BackendIncarnation.of("r"), new LimitReport(3, 9_000))));
 		assertThat(this.table.limits().snapshot().activeLimits()).isEqualTo(Map.of("r", 3.0));
 		assertThat(this.table.limits().snapshot().announcements())
-			.containsExactly(new SharedLimits.LimitAnnouncement(BackendRun.of("r"), new LimitReport(3, 9_000)));
+			.containsExactly(new SharedLimits.LimitAnnouncement(BackendIncarnation.of("r"), new LimitReport(3, 9_000)));
 		assertThat(this.table.limits().snapshot().wishes()).singleElement()
 			.extracting((wish) -> wish.wish().limitPerSecond())
 			.isEqualTo(3.0);
@@ -178,7 +178,7 @@
 	}
 
 	private static BackendEntry plainServer(String id) {
-		return new BackendEntry(id, BackendRun.UNKNOWN, "s", "10.0.0.1", 80, "dc", 2, false);
+		return new BackendEntry(id, BackendIncarnation.UNKNOWN, "s", "10.0.0.1", 80, "dc", 2, false);
 	}
 
 	private void reject(String id, long retryAfterMillis) {
--- a/gateway/src/test/java/org/snowwind/gateway/backend/BackendTableTests.java
+++ b/gateway/src/test/java/org/snowwind/gateway/backend/BackendTableTests.java
@@ -12,7 +12,7 @@
 import org.snowwind.decide.limit.AnnouncedLimit;
 import org.snowwind.decide.notice.ServerNotice;
 import org.snowwind.gateway.registry.BackendEntry;
-import org.snowwind.gateway.registry.BackendRun;
+import org.snowwind.gateway.registry.BackendIncarnation;
 import org.snowwind.gateway.registry.Registry;
 import org.snowwind.gateway.table.EngineProfile;
 import org.snowwind.model.ManualClock;
@@ -38,7 +38,7 @@
 	private final BackendTable table = new BackendTable(this.clock, new Random(1), "dc", () -> 1);
 
 	private static BackendEntry server(String id, boolean draining) {
-		return new BackendEntry(id, BackendRun.UNKNOWN, "s", "10.0.0.1", 80, "dc", 2, draining);
+		return new BackendEntry(id, BackendIncarnation.UNKNOWN, "s", "10.0.0.1", 80, "dc", 2, draining);
 	}
 
 	private void register(BackendEntry... servers) {
@@ -117,7 +117,7 @@
 		Map<String, Integer> staleLoads = new HashMap<>();
 		BackendEntry[] ranks = new BackendEntry[SERVERS];
 		for (int i = 0; i < SERVERS; i++) {
-			ranks[i] = new BackendEntry("r" + i, BackendRun.UNKNOWN, "s", "10.0.0.1", 80 + i, "dc", ENGINE.slots(),
+			ranks[i] = new BackendEntry("r" + i, BackendIncarnation.UNKNOWN, "s", "10.0.0.1", 80 + i, "dc", ENGINE.slots(),
 					false);
 			staleLoads.put("r" + i, (i == 0) ? 0 : 4);
 		}
@@ -140,7 +140,7 @@
 	@Test
 	void serverOfFullGroupIsNotChosen() {
 		register(server("a", false), server("b", false));
-		this.table.recordGroup(BackendRun.of("a"), "g");
+		this.table.recordGroup(BackendIncarnation.of("a"), "g");
 		server("a").onSent(this.clock.nowMillis());
 		ServerRequirements requirements = new ServerRequirements("s", Set.of("b"), 9, ENGINE, 120);
 		assertThat(this.table.choose(requirements)).isPresent();
@@ -153,7 +153,7 @@
 	@Test
 	void groupWithUnreachableRanksIsClosed() {
 		register(server("a", false), server("b", false), server("c", false));
-		Stream.of("a", "b", "c").forEach((id) -> this.table.recordGroup(BackendRun.of(id), "g"));
+		Stream.of("a", "b", "c").forEach((id) -> this.table.recordGroup(BackendIncarnation.of(id), "g"));
 		Stream.of("a", "b").forEach(this::failToReach);
 		assertThat(this.table.outage("s").total()).as("two ranks may have failed").isFalse();
 		failToReach("c");
@@ -165,7 +165,7 @@
 		register(server("a", false));
 		server("a").onSent(this.clock.nowMillis());
 		server("a").onStreamStart(10_000);
-		this.table.recordGroup(BackendRun.of("a"), "g");
+		this.table.recordGroup(BackendIncarnation.of("a"), "g");
 		this.clock.advance(600);
 		choose(NONE);
 		this.table.choose(new ServerRequirements("s", NONE, 9, ENGINE, 120));
@@ -187,7 +187,7 @@
 	@Test
 	void newGatewayLeavesRoomForUnreportedRequestsOfPeers() {
 		register(server("a", false), server("b", false));
-		Stream.of("a", "b").forEach((id) -> this.table.recordGroup(BackendRun.of(id), "g"));
+		Stream.of("a", "b").forEach((id) -> this.table.recordGroup(BackendIncarnation.of(id), "g"));
 		ServerRequirements requirements = new ServerRequirements("s", NONE, 9, ENGINE, 120);
 		server("a").onSent(this.clock.nowMillis());
 		this.table.updatePeersInFlight(Map.of(), 1);
@@ -206,7 +206,7 @@
 	void restartedServerStartsWithoutEarlierState() {
 		register(serverBornAt(1000));
 		Backend before = server("a");
-		this.table.recordGroup(new BackendRun("a", 1000), "g");
+		this.table.recordGroup(new BackendIncarnation("a", 1000), "g");
 		before.onSent(this.clock.nowMillis());
 		before.onReplaced();
 		register(serverBornAt(2000));
@@ -227,9 +227,9 @@
 	@Test
 	void groupOfEarlierIncarnationIsIgnored() {
 		register(serverBornAt(2000));
-		this.table.recordGroup(new BackendRun("a", 1000), "g");
+		this.table.recordGroup(new BackendIncarnation("a", 1000), "g");
 		assertThat(server("a").group()).isNull();
-		this.table.recordGroup(new BackendRun("a", 2000), "g");
+		this.table.recordGroup(new BackendIncarnation("a", 2000), "g");
 		assertThat(server("a").group()).isNotNull();
 	}
 
@@ -259,7 +259,7 @@
 
 	@Test
 	void newIncarnationDoesNotInheritNoticesOfOneWhoseStartWasLearntLater() {
-		register(serverBornAt(BackendRun.UNKNOWN));
+		register(serverBornAt(BackendIncarnation.UNKNOWN));
 		announce(0, true);
 		register(serverBornAt(1000));
 		register();
--- a/gateway/src/test/java/org/snowwind/gateway/backend/LoadModel.java
+++ b/gateway/src/test/java/org/snowwind/gateway/backend/LoadModel.java
@@ -13,7 +13,7 @@
 import java.util.stream.IntStream;
 
 import org.snowwind.gateway.registry.BackendEntry;
-import org.snowwind.gateway.registry.BackendRun;
+import org.snowwind.gateway.registry.BackendIncarnation;
 import org.snowwind.gateway.registry.Registry;
 import org.snowwind.gateway.table.EngineProfile;
 import org.snowwind.model.ManualClock;
@@ -67,7 +67,7 @@
 		this.scenario = scenario;
 		this.random = new Random(seed);
 		Map<String, BackendEntry> entries = IntStream.range(0, scenario.ranks())
-			.mapToObj((i) -> new BackendEntry("r" + i, BackendRun.UNKNOWN, SERVICE, "10.0.0.1", 80 + i, dataCentre(i),
+			.mapToObj((i) -> new BackendEntry("r" + i, BackendIncarnation.UNKNOWN, SERVICE, "10.0.0.1", 80 + i, dataCentre(i),
 					scenario.engine().slots(), false))
 			.collect(Collectors.toMap(BackendEntry::id, (entry) -> entry));
 		entries.keySet().forEach((id) -> this.streamsByServer.put(id, new ArrayList<>()));
@@ -75,7 +75,7 @@
 			BackendTable table = new BackendTable(this.clock, new Random(this.random.nextLong()), dataCentre(i),
 					scenario::gateways, limit);
 			table.update(new Registry(1, entries));
-			entries.keySet().forEach((id) -> table.recordGroup(BackendRun.of(id), "g"));
+			entries.keySet().forEach((id) -> table.recordGroup(BackendIncarnation.of(id), "g"));
 			this.gateways.add(new Gateway(table, new Admission(table, this.clock)));
 		}
 	}
--- a/gateway/src/test/java/org/snowwind/gateway/backend/ReturnModel.java
+++ b/gateway/src/test/java/org/snowwind/gateway/backend/ReturnModel.java
@@ -16,7 +16,7 @@
 import org.snowwind.decide.notice.RampUp;
 import org.snowwind.decide.notice.ServerNotice;
 import org.snowwind.gateway.registry.BackendEntry;
-import org.snowwind.gateway.registry.BackendRun;
+import org.snowwind.gateway.registry.BackendIncarnation;
 import org.snowwind.gateway.registry.Registry;
 import org.snowwind.model.ManualClock;
 
@@ -67,7 +67,7 @@
 		this.scenario = scenario;
 		this.random = new Random(seed);
 		Map<String, BackendEntry> entries = IntStream.range(0, scenario.servers())
-			.mapToObj((i) -> new BackendEntry("r" + i, BackendRun.UNKNOWN, SERVICE, "10.0.0.1", 80 + i, "dc", SLOTS,
+			.mapToObj((i) -> new BackendEntry("r" + i, BackendIncarnation.UNKNOWN, SERVICE, "10.0.0.1", 80 + i, "dc", SLOTS,
 					false))
 			.collect(Collectors.toMap(BackendEntry::id, (entry) -> entry));
 		entries.keySet().forEach((id) -> this.servers.add(new Server(id)));
--- a/gateway/src/test/java/org/snowwind/gateway/backend/ServerPickTests.java
+++ b/gateway/src/test/java/org/snowwind/gateway/backend/ServerPickTests.java
@@ -7,7 +7,7 @@
 
 import org.junit.jupiter.api.Test;
 import org.snowwind.gateway.registry.BackendEntry;
-import org.snowwind.gateway.registry.BackendRun;
+import org.snowwind.gateway.registry.BackendIncarnation;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -25,8 +25,8 @@
 	}
 
 	private static Candidate candidate(String id, double fullness, double roomShare, boolean near) {
-		return new Candidate(new Backend(new BackendEntry(id, BackendRun.UNKNOWN, "s", "10.0.0.1", 80, "dc", 8, false),
-				new BackendNotices(BackendRun.of(id))), fullness, roomShare, near);
+		return new Candidate(new Backend(new BackendEntry(id, BackendIncarnation.UNKNOWN, "s", "10.0.0.1", 80, "dc", 8, false),
+				new BackendNotices(BackendIncarnation.of(id))), fullness, roomShare, near);
 	}
 
 	private Map<String, Integer> countPicks(ServerPick pick, List<Candidate> candidates) {
--- a/gateway/src/test/java/org/snowwind/gateway/expert/CountWindowsTests.java
+++ b/gateway/src/test/java/org/snowwind/gateway/expert/CountWindowsTests.java
@@ -3,7 +3,7 @@
 import java.util.Optional;
 
 import org.junit.jupiter.api.Test;
-import org.snowwind.gateway.registry.BackendRun;
+import org.snowwind.gateway.registry.BackendIncarnation;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -15,7 +15,7 @@
 	private final CountWindows windows = new CountWindows();
 
 	private Optional<long[][]> since(String server, long nowMillis, long... counts) {
-		return this.windows.since(BackendRun.of(server), new long[][] { counts }, nowMillis);
+		return this.windows.since(BackendIncarnation.of(server), new long[][] { counts }, nowMillis);
 	}
 
 	@Test
@@ -52,9 +52,9 @@
 
 	@Test
 	void anotherLifeOfTheServerCountsFromZero() {
-		this.windows.since(new BackendRun("a", 1000), new long[][] { { 50 } }, 0);
-		assertThat(this.windows.since(new BackendRun("a", 2000), new long[][] { { 60 } }, 100)).isEmpty();
-		assertThat(this.windows.since(new BackendRun("a", 2000), new long[][] { { 65 } }, 200).orElseThrow()[0])
+		this.windows.since(new BackendIncarnation("a", 1000), new long[][] { { 50 } }, 0);
+		assertThat(this.windows.since(new BackendIncarnation("a", 2000), new long[][] { { 60 } }, 100)).isEmpty();
+		assertThat(this.windows.since(new BackendIncarnation("a", 2000), new long[][] { { 65 } }, 200).orElseThrow()[0])
 			.containsExactly(5);
 	}
 
--- a/gateway/src/test/java/org/snowwind/gateway/expert/FakeRankGroup.java
+++ b/gateway/src/test/java/org/snowwind/gateway/expert/FakeRankGroup.java
@@ -6,7 +6,7 @@
 import java.util.PriorityQueue;
 import java.util.Random;
 
-import org.snowwind.gateway.registry.BackendRun;
+import org.snowwind.gateway.registry.BackendIncarnation;
 import org.snowwind.model.ManualClock;
 
 /**
@@ -156,7 +156,7 @@
 		public List<Rank> reports() {
 			advance(3);
 			return FakeRankGroup.this.ranks.stream()
-				.map((rank) -> new Rank(BackendRun.of("i-" + rank.place), "address",
+				.map((rank) -> new Rank(BackendIncarnation.of("i-" + rank.place), "address",
 						rank.reportAsOf(FakeRankGroup.this.nowMillis)))
 				.toList();
 		}
@@ -273,7 +273,7 @@
 			boolean copied = this.preparedVersion != 0 && FakeRankGroup.this.nowMillis >= this.preparedMillis;
 			return new RankReport("g", 1, this.place, FakeRankGroup.this.ranks.size(), true, FakeRankGroup.this.step,
 					this.mapVersion, copied ? this.preparedVersion : 0, this.armedVersion, this.heldStep,
-					BackendRun.UNKNOWN);
+					BackendIncarnation.UNKNOWN);
 		}
 
 		private RankReport reportAsOf(long millis) {
--- a/gateway/src/test/java/org/snowwind/gateway/expert/GroupDirectoryTests.java
+++ b/gateway/src/test/java/org/snowwind/gateway/expert/GroupDirectoryTests.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.api.Test;
 import org.snowwind.gateway.limit.ServerCalls;
 import org.snowwind.gateway.registry.BackendEntry;
-import org.snowwind.gateway.registry.BackendRun;
+import org.snowwind.gateway.registry.BackendIncarnation;
 import org.snowwind.http.DataLoop;
 import org.snowwind.http.client.JsonClient;
 import org.snowwind.http.server.HttpLimits;
@@ -62,7 +62,7 @@
 
 	private final List<BackendEntry> servers = new ArrayList<>();
 
-	private final Map<BackendRun, String> found = new HashMap<>();
+	private final Map<BackendIncarnation, String> found = new HashMap<>();
 
 	GroupDirectoryTests() {
 		InetSocketAddress address = this.ranks.start(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
@@ -87,8 +87,8 @@
 				new ServerCalls.Restrictions(() -> this.limits, () -> this.backoffs), (run, notice, sentMillis) -> {
 				}, this.clock), this.store,
 				new GroupDirectory.Sources(
-						() -> this.servers.stream().filter((one) -> !this.found.containsKey(one.run())).toList(),
-						() -> Set.copyOf(this.servers.stream().map(BackendEntry::run).toList()), () -> planning),
+						() -> this.servers.stream().filter((one) -> !this.found.containsKey(one.incarnation())).toList(),
+						() -> Set.copyOf(this.servers.stream().map(BackendEntry::incarnation).toList()), () -> planning),
 				this.found::put, this.clock);
 	}
 
@@ -153,7 +153,7 @@
 		assertThat(this.asked).as("three and five questions to the limited ones").hasValue(10 * (SERVERS - 2) + 8);
 		this.clock.advance(4000);
 		directory.round();
-		assertThat(this.found).containsKey(this.servers.get(0).run());
+		assertThat(this.found).containsKey(this.servers.get(0).incarnation());
 	}
 
 	/**
--- a/gateway/src/test/java/org/snowwind/gateway/expert/RankCallsTests.java
+++ b/gateway/src/test/java/org/snowwind/gateway/expert/RankCallsTests.java
@@ -19,7 +19,7 @@
 import org.snowwind.decide.notice.ServerNotice;
 import org.snowwind.gateway.limit.ServerCalls;
 import org.snowwind.gateway.registry.BackendEntry;
-import org.snowwind.gateway.registry.BackendRun;
+import org.snowwind.gateway.registry.BackendIncarnation;
 import org.snowwind.http.client.JsonClient;
 import org.snowwind.model.MonotonicClock;
 
@@ -60,7 +60,7 @@
 		this.socket.close();
 	}
 
-	private void onNotice(BackendRun run, ServerNotice notice, long sentMillis) {
+	private void onNotice(BackendIncarnation run, ServerNotice notice, long sentMillis) {
 		this.backoffs.put(run.id(), sentMillis + notice.retryAfterMillis());
 	}
 
@@ -128,8 +128,8 @@
 	}
 
 	private Rank rank(String serverId) {
-		RankReport report = new RankReport("g", 1, 0, 1, true, 0, 1, 0, 0, RankReport.NOT_HELD, BackendRun.UNKNOWN);
-		return new Rank(BackendRun.of(serverId), "127.0.0.1:" + this.socket.getLocalPort(), report);
+		RankReport report = new RankReport("g", 1, 0, 1, true, 0, 1, 0, 0, RankReport.NOT_HELD, BackendIncarnation.UNKNOWN);
+		return new Rank(BackendIncarnation.of(serverId), "127.0.0.1:" + this.socket.getLocalPort(), report);
 	}
 
 	private OrderResult order(String serverId, MapOrder order) {
@@ -137,7 +137,7 @@
 	}
 
 	private long reportedStep() {
-		BackendEntry server = new BackendEntry(SERVER, BackendRun.UNKNOWN, "model", "127.0.0.1",
+		BackendEntry server = new BackendEntry(SERVER, BackendIncarnation.UNKNOWN, "model", "127.0.0.1",
 				this.socket.getLocalPort(), "dc", 8, false);
 		return this.calls.reports(List.of(server)).get(0).report().step();
 	}
@@ -187,14 +187,14 @@
 	void anOrderThatAnotherLifeOfTheServerTookIsNotTaken() {
 		this.answers.add(answer(200, "{\"born\":2000}"));
 		this.answers.add(answer(200, "{\"born\":1000}"));
-		Rank rank = new Rank(new BackendRun(SERVER, 1000), "127.0.0.1:" + this.socket.getLocalPort(),
+		Rank rank = new Rank(new BackendIncarnation(SERVER, 1000), "127.0.0.1:" + this.socket.getLocalPort(),
 				rank(SERVER).report());
 		assertThat(this.calls.order(List.of(rank), new MapOrder.Hold(5), 1)).containsExactly(OrderResult.RESTARTED);
 		assertThat(this.calls.order(List.of(rank), new MapOrder.Hold(5), 1)).containsExactly(OrderResult.TAKEN);
 	}
 
 	private List<Rank> reports() {
-		return this.calls.reports(List.of(new BackendEntry(SERVER, BackendRun.UNKNOWN, "model", "127.0.0.1",
+		return this.calls.reports(List.of(new BackendEntry(SERVER, BackendIncarnation.UNKNOWN, "model", "127.0.0.1",
 				this.socket.getLocalPort(), "dc", 8, false)));
 	}
 
--- a/gateway/src/test/java/org/snowwind/gateway/expert/RankSampleTests.java
+++ b/gateway/src/test/java/org/snowwind/gateway/expert/RankSampleTests.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Test;
 import org.snowwind.gateway.limit.ServerCalls;
 import org.snowwind.gateway.registry.BackendEntry;
-import org.snowwind.gateway.registry.BackendRun;
+import org.snowwind.gateway.registry.BackendIncarnation;
 import org.snowwind.model.ManualClock;
 
 import static org.assertj.core.api.Assertions.assertThat;
@@ -35,7 +35,7 @@
 
 	private static List<BackendEntry> ranks(int count) {
 		return IntStream.range(0, count)
-			.mapToObj((i) -> new BackendEntry("r" + i, BackendRun.UNKNOWN, "s", "10.0.0.1", 80 + i, "dc", 4, false))
+			.mapToObj((i) -> new BackendEntry("r" + i, BackendIncarnation.UNKNOWN, "s", "10.0.0.1", 80 + i, "dc", 4, false))
 			.toList();
 	}
 
--- a/gateway/src/test/java/org/snowwind/gateway/peer/CallRotaTests.java
+++ b/gateway/src/test/java/org/snowwind/gateway/peer/CallRotaTests.java
@@ -10,11 +10,11 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Tests for {@link CallRota}.
+ * Tests for {@link CallSchedule}.
  */
 class CallRotaTests {
 
-	private final CallRota schedule = new CallRota("own:1");
+	private final CallSchedule schedule = new CallSchedule("own:1");
 
 	private static List<String> peers(int count) {
 		return IntStream.range(0, count).mapToObj(Integer::toString).toList();
--- a/gateway/src/test/java/org/snowwind/gateway/peer/FreshnessModel.java
+++ b/gateway/src/test/java/org/snowwind/gateway/peer/FreshnessModel.java
@@ -550,7 +550,7 @@
 
 		private final PeerTable peers;
 
-		private final CallRota callSchedule;
+		private final CallSchedule callSchedule;
 
 		private final List<Copy> copies = new ArrayList<>();
 
@@ -578,7 +578,7 @@
 			this.address = address;
 			this.incarnation = incarnation;
 			this.peers = new PeerTable(address);
-			this.callSchedule = new CallRota(address);
+			this.callSchedule = new CallSchedule(address);
 			ConfirmationRank rank = new ConfirmationRank(address, this::live);
 			Map<String, Freshness> freshness = new HashMap<>();
 			for (String prefix : PREFIXES) {
@@ -661,7 +661,7 @@
 		private GatewayReport report() {
 			GatewayReport report = new GatewayReport(this.address, this.incarnation, this.address, false, 0, 0,
 					Map.of(), List.of(), 0);
-			this.claims.write(report);
+			this.claims.addClaims(report);
 			if (this.sendsInvalidClaims && now() < FreshnessModel.this.scenario.faultsEndMillis()) {
 				report.setClaims(PREFIXES.stream().map(this::invalidClaim).toList());
 			}
--- a/gateway/src/test/java/org/snowwind/gateway/peer/GatewayDirectoryTests.java
+++ b/gateway/src/test/java/org/snowwind/gateway/peer/GatewayDirectoryTests.java
@@ -36,7 +36,7 @@
 
 	private void runRounds(int count) {
 		for (int i = 0; i < count; i++) {
-			this.directory.round();
+			this.directory.refresh();
 		}
 	}
 
--- a/gateway/src/test/java/org/snowwind/gateway/peer/StoreClaimsTests.java
+++ b/gateway/src/test/java/org/snowwind/gateway/peer/StoreClaimsTests.java
@@ -153,7 +153,7 @@
 		private GatewayReport report() {
 			GatewayReport report = new GatewayReport(this.address, this.incarnation, this.address, false, 0, 0,
 					Map.of(), List.of(), 0);
-			this.claims.write(report);
+			this.claims.addClaims(report);
 			return report;
 		}
 
--- a/gateway/src/test/java/org/snowwind/gateway/registry/RegistryViewTests.java
+++ b/gateway/src/test/java/org/snowwind/gateway/registry/RegistryViewTests.java
@@ -16,7 +16,7 @@
 	private final RegistryView view = new RegistryView(GRACE_MILLIS);
 
 	private static BackendEntry server(String id, boolean draining) {
-		return new BackendEntry(id, BackendRun.UNKNOWN, "s", "10.0.0.1", 80, "dc", 8, draining);
+		return new BackendEntry(id, BackendIncarnation.UNKNOWN, "s", "10.0.0.1", 80, "dc", 8, draining);
 	}
 
 	private static BackendEntry server(String id) {
--- a/gateway/src/test/java/org/snowwind/gateway/registry/RegistryWatcherTests.java
+++ b/gateway/src/test/java/org/snowwind/gateway/registry/RegistryWatcherTests.java
@@ -42,7 +42,7 @@
 	void unreadableEntryInListingDoesNotAffectOtherServers() {
 		this.watcher.listed(new ListResult.Listed(5, List.of(entry("a", "1"), entry("odd", "[]"), entry("b", "2"))));
 		assertThat(servers()).containsExactlyInAnyOrder("a", "b");
-		assertThat(this.watcher.unreadable()).isEqualTo(1);
+		assertThat(this.watcher.unreadableCount()).isEqualTo(1);
 	}
 
 	@Test
@@ -52,7 +52,7 @@
 		assertThat(servers()).containsExactly("b");
 		this.watcher.changed(new WatchResult.Changes(List.of(entry("a", "1")), 8));
 		assertThat(servers()).containsExactlyInAnyOrder("a", "b");
-		assertThat(this.watcher.unreadable()).isZero();
+		assertThat(this.watcher.unreadableCount()).isZero();
 	}
 
 	/**
@@ -70,7 +70,7 @@
 			if (document == null || !document.isNumber()) {
 				throw new DocumentException("not a number");
 			}
-			return new BackendEntry(id, BackendRun.UNKNOWN, "s", "10.0.0.1", 80, "dc", 1, false);
+			return new BackendEntry(id, BackendIncarnation.UNKNOWN, "s", "10.0.0.1", 80, "dc", 1, false);
 		}
 
 	}
--- a/gateway/src/test/java/org/snowwind/gateway/request/GatewayFixture.java
+++ b/gateway/src/test/java/org/snowwind/gateway/request/GatewayFixture.java
@@ -21,7 +21,7 @@
 import org.snowwind.gateway.backend.Admission;
 import org.snowwind.gateway.backend.BackendTable;
 import org.snowwind.gateway.registry.BackendEntry;
-import org.snowwind.gateway.registry.BackendRun;
+import org.snowwind.gateway.registry.BackendIncarnation;
 import org.snowwind.gateway.registry.Registry;
 import org.snowwind.gateway.stop.GracefulStop;
 import org.snowwind.gateway.stop.OpenRequests;
@@ -31,7 +31,7 @@
 import org.snowwind.gateway.suspect.Suspects;
 import org.snowwind.gateway.table.EngineProfile;
 import org.snowwind.gateway.table.KeyHolder;
-import org.snowwind.gateway.table.Repeat;
+import org.snowwind.gateway.table.RepeatPolicy;
 import org.snowwind.gateway.table.RequestLimits;
 import org.snowwind.gateway.table.Route;
 import org.snowwind.gateway.table.RouteTable;
@@ -131,20 +131,20 @@
 	}
 
 	private GatewayFixture withRoutes(Map<String, ServiceEntry> services) {
-		List<Route> routes = List.of(route("once", Repeat.AT_MOST_ONCE, 1, false),
-				route("many", Repeat.IDEMPOTENT, 2, false), route("stream", Repeat.STREAM, 2, true),
-				route("frail", Repeat.STREAM, 1, false), route("single", Repeat.STREAM, 10_000, 400, 1, true),
-				route("patient", Repeat.STREAM, 60_000, 60_000, 2, true));
+		List<Route> routes = List.of(route("once", RepeatPolicy.AT_MOST_ONCE, 1, false),
+				route("many", RepeatPolicy.IDEMPOTENT, 2, false), route("stream", RepeatPolicy.STREAM, 2, true),
+				route("frail", RepeatPolicy.STREAM, 1, false), route("single", RepeatPolicy.STREAM, 10_000, 400, 1, true),
+				route("patient", RepeatPolicy.STREAM, 60_000, 60_000, 2, true));
 		this.tables.offer(new RouteTable(1, routes, services, Map.of("secret", new KeyHolder("org", 1)),
 				new RequestLimits(100_000, 15_000), new byte[0]), "test");
 		return this;
 	}
 
-	private static Route route(String name, Repeat repeat, int attempts, boolean resumable) {
+	private static Route route(String name, RepeatPolicy repeat, int attempts, boolean resumable) {
 		return route(name, repeat, TIMEOUT_MILLIS, 400, attempts, resumable);
 	}
 
-	private static Route route(String name, Repeat repeat, long timeoutMillis, long targetMillis, int attempts,
+	private static Route route(String name, RepeatPolicy repeat, long timeoutMillis, long targetMillis, int attempts,
 			boolean resumable) {
 		return new Route(name, "gateway.test", "/" + name + "/", repeat, timeoutMillis, targetMillis, 100, 1, attempts,
 				false, resumable, List.of(new Route.Share("service", 1)));
@@ -170,7 +170,7 @@
 
 	private void register(int port) {
 		String id = "server-" + this.entries.size();
-		this.entries.put(id, new BackendEntry(id, BackendRun.UNKNOWN, "service", "127.0.0.1", port, "dc", 8, false));
+		this.entries.put(id, new BackendEntry(id, BackendIncarnation.UNKNOWN, "service", "127.0.0.1", port, "dc", 8, false));
 		Map<String, Integer> peerLoad = new HashMap<>();
 		for (int i = 0; i < this.entries.size(); i++) {
 			peerLoad.put("server-" + i, i);
@@ -184,7 +184,7 @@
 	/** Puts all servers into one group that has rejected several requests in a row. */
 	void closeGroup() {
 		onLoop(() -> this.entries.keySet().forEach((id) -> {
-			this.backends.recordGroup(BackendRun.of(id), "group");
+			this.backends.recordGroup(BackendIncarnation.of(id), "group");
 			for (int i = 0; i < 3; i++) {
 				this.backends.find(id).orElseThrow().onSent(this.clock.nowMillis());
 				this.backends.find(id).orElseThrow().onRejection(this.clock.nowMillis());
@@ -194,7 +194,7 @@
 
 	/** Puts a server into a group. */
 	void addToGroup(String id, String group) {
-		onLoop(() -> this.backends.recordGroup(BackendRun.of(id), group));
+		onLoop(() -> this.backends.recordGroup(BackendIncarnation.of(id), group));
 	}
 
 	/** Returns the duration of a pass of a server's group, as estimated from pauses. */
@@ -231,7 +231,7 @@
 
 	/** Reports the version of a peer's route table. */
 	void announceTableVersion(long version) {
-		this.freshness.told(version, "127.0.0.1:1");
+		this.freshness.recordPeerVersion(version, "127.0.0.1:1");
 	}
 
 	/** Advances only the gateway's clock. */
--- a/gateway/src/test/java/org/snowwind/gateway/suspect/EndWatchTests.java
+++ b/gateway/src/test/java/org/snowwind/gateway/suspect/EndWatchTests.java
@@ -8,7 +8,7 @@
 
 import org.junit.jupiter.api.Test;
 import org.snowwind.gateway.registry.BackendEntry;
-import org.snowwind.gateway.registry.BackendRun;
+import org.snowwind.gateway.registry.BackendIncarnation;
 import org.snowwind.model.ManualClock;
 
 import static org.assertj.core.api.Assertions.assertThat;
@@ -128,7 +128,7 @@
 		looks(GONE, GONE);
 		this.watch.broke(server("s"), request("1-a"), LOST);
 		this.clock.advance(EndWatch.ON_THE_WAY_MILLIS + 1);
-		this.watch.heard(new BackendRun("s", 1));
+		this.watch.heard(new BackendIncarnation("s", 1));
 		lookAgain();
 		assertThat(this.told).isEmpty();
 	}
@@ -138,7 +138,7 @@
 		looks(GONE, GONE);
 		this.watch.broke(server("s"), request("1-a"), LOST);
 		lookAgain();
-		this.watch.heard(new BackendRun("s", 1));
+		this.watch.heard(new BackendIncarnation("s", 1));
 		assertThat(this.told).containsExactly("s ended under 1-a", "s lives");
 	}
 
@@ -146,9 +146,9 @@
 	void aByteThatWasOnItsWayOrOfAnotherLifeShowsNothing() {
 		looks(GONE, GONE);
 		this.watch.broke(server("s"), request("1-a"), LOST);
-		this.watch.heard(new BackendRun("s", 1));
+		this.watch.heard(new BackendIncarnation("s", 1));
 		this.clock.advance(EndWatch.ON_THE_WAY_MILLIS + 1);
-		this.watch.heard(new BackendRun("s", 2));
+		this.watch.heard(new BackendIncarnation("s", 2));
 		lookAgain();
 		assertThat(this.told).containsExactly("s ended under 1-a");
 	}
@@ -170,7 +170,7 @@
 		}
 
 		@Override
-		public void lives(BackendRun server) {
+		public void lives(BackendIncarnation server) {
 			EndWatchTests.this.told.add(server.id() + " lives");
 		}
 
--- a/gateway/src/test/java/org/snowwind/gateway/table/RouteTableTests.java
+++ b/gateway/src/test/java/org/snowwind/gateway/table/RouteTableTests.java
@@ -14,7 +14,7 @@
 class RouteTableTests {
 
 	private static Route route(String name, String host, String prefix, Route.Share... shares) {
-		return new Route(name, host, prefix, Repeat.IDEMPOTENT, 1000, 100, 0, 1, 2, false, false, List.of(shares));
+		return new Route(name, host, prefix, RepeatPolicy.IDEMPOTENT, 1000, 100, 0, 1, 2, false, false, List.of(shares));
 	}
 
 	private static RouteTable table(long version, Map<String, KeyHolder> keys, Route... routes) {
@@ -45,9 +45,9 @@
 	@Test
 	void keysAreRequiredOnlyIfOrganisationsAreConfigured() {
 		KeyHolder holder = new KeyHolder("org", 1);
-		assertThat(table(1, Map.of(), route("r", "h", "/")).keysNeeded()).isFalse();
+		assertThat(table(1, Map.of(), route("r", "h", "/")).requiresKeys()).isFalse();
 		RouteTable keyed = table(1, Map.of("k", holder), route("r", "h", "/"));
-		assertThat(keyed.keysNeeded()).isTrue();
+		assertThat(keyed.requiresKeys()).isTrue();
 		assertThat(keyed.holderOf("k")).contains(holder);
 		assertThat(keyed.holderOf("K")).isEmpty();
 	}
@@ -77,9 +77,9 @@
 
 	@Test
 	void streamIsRepeatableOnlyIfResumable() {
-		Route stream = new Route("s", "h", "/", Repeat.STREAM, 1, 1, 1, 1, 1, false, false, List.of());
-		Route resumable = new Route("s", "h", "/", Repeat.STREAM, 1, 1, 1, 1, 1, false, true, List.of());
-		Route once = new Route("s", "h", "/", Repeat.AT_MOST_ONCE, 1, 1, 1, 1, 1, false, true, List.of());
+		Route stream = new Route("s", "h", "/", RepeatPolicy.STREAM, 1, 1, 1, 1, 1, false, false, List.of());
+		Route resumable = new Route("s", "h", "/", RepeatPolicy.STREAM, 1, 1, 1, 1, 1, false, true, List.of());
+		Route once = new Route("s", "h", "/", RepeatPolicy.AT_MOST_ONCE, 1, 1, 1, 1, 1, false, true, List.of());
 		assertThat(stream.repeatable()).isFalse();
 		assertThat(resumable.repeatable()).isTrue();
 		assertThat(once.repeatable()).isFalse();
--- a/gateway/src/test/java/org/snowwind/gateway/table/TableFreshnessTests.java
+++ b/gateway/src/test/java/org/snowwind/gateway/table/TableFreshnessTests.java
@@ -40,9 +40,9 @@
 	@Test
 	void behindTimeStartsAtFirstNewerPeerVersion() {
 		applyTable(3);
-		this.freshness.told(4, "a:1");
+		this.freshness.recordPeerVersion(4, "a:1");
 		this.clock.advance(100);
-		this.freshness.told(6, "b:1");
+		this.freshness.recordPeerVersion(6, "b:1");
 		this.clock.advance(200);
 		assertThat(this.freshness.state()).isEqualTo(new TableFreshness.State(3, 300, 6, "b:1", 300));
 		assertThat(this.freshness.state().isBehind()).isTrue();
@@ -51,12 +51,12 @@
 	@Test
 	void newerTableEndsBeingBehind() {
 		applyTable(3);
-		this.freshness.told(4, "a:1");
+		this.freshness.recordPeerVersion(4, "a:1");
 		this.clock.advance(100);
 		applyTable(4);
 		assertThat(this.freshness.state()).isEqualTo(new TableFreshness.State(4, 100, 4, "a:1", 0));
 		this.clock.advance(500);
-		this.freshness.told(9, "a:1");
+		this.freshness.recordPeerVersion(9, "a:1");
 		this.clock.advance(50);
 		assertThat(this.freshness.state().behindMillis()).isEqualTo(50);
 	}
@@ -64,8 +64,8 @@
 	@Test
 	void olderOrEqualPeerVersionIsIgnored() {
 		applyTable(3);
-		this.freshness.told(3, "a:1");
-		this.freshness.told(1, "b:1");
+		this.freshness.recordPeerVersion(3, "a:1");
+		this.freshness.recordPeerVersion(1, "b:1");
 		assertThat(this.freshness.state().isBehind()).isFalse();
 	}
 
@@ -73,7 +73,7 @@
 	void refusalIsNotFinalWhilePeerHasNewerTable() {
 		applyTable(3);
 		assertThat(this.freshness.isRefusalFinal()).isTrue();
-		this.freshness.told(4, "a:1");
+		this.freshness.recordPeerVersion(4, "a:1");
 		assertThat(this.freshness.isRefusalFinal()).isFalse();
 		applyTable(4);
 		assertThat(this.freshness.isRefusalFinal()).isTrue();
@@ -91,7 +91,7 @@
 	@Test
 	void peerVersionThatNeverArrivesDoesNotBlockFinalRefusals() {
 		applyTable(3);
-		this.freshness.told(Long.MAX_VALUE, "a:1");
+		this.freshness.recordPeerVersion(Long.MAX_VALUE, "a:1");
 		this.clock.advance(BOUND_MILLIS + 1);
 		this.confirmations.answered(this.clock.nowMillis(), 1, 1, 1);
 		assertThat(this.freshness.isRefusalFinal()).isTrue();
