--- a/balance/src/main/java/org/snowwind/balance/plan/CostAwarePlanner.java
+++ b/balance/src/main/java/org/snowwind/balance/plan/CostAwarePlanner.java
@@ -92,7 +92,8 @@
 			}
 			int moves = sequence.get(to).moves() - sequence.get(from).moves();
 			double reduction = sequence.get(from).maxLoad() - sequence.get(to).maxLoad();
-			double netGain = this.cost.gainOfSkewReduction(reduction / scale.sumOfMeans()) - this.cost.costOfMoves(moves);
+			double netGain = this.cost.gainOfSkewReduction(reduction / scale.sumOfMeans())
+					- this.cost.costOfMoves(moves);
 			boolean exceedsNoise = sequence.get(0).maxLoad() - sequence.get(to).maxLoad() > noise;
 			if (netGain <= 0 || !exceedsNoise) {
 				return;
--- a/decide/src/main/java/org/snowwind/decide/stop/StopSchedule.java
+++ b/decide/src/main/java/org/snowwind/decide/stop/StopSchedule.java
@@ -12,8 +12,8 @@
  * can still finish.
  *
  * @param beganMillis when the process was told to stop, by its own clock
- * @param knownToSendersMillis from when on balancers and other senders of requests know of the
- * stop
+ * @param knownToSendersMillis from when on balancers and other senders of requests know
+ * of the stop
  * @param finalAnswersMillis when the requests that are still open get their final answers
  * @param endMillis when the requests that are still open are cut off
  */
--- a/decide/src/test/java/org/snowwind/decide/choice/ChoiceTests.java
+++ b/decide/src/test/java/org/snowwind/decide/choice/ChoiceTests.java
@@ -59,7 +59,8 @@
 	@Test
 	void workStaysLocalUntilLocalServersAreFull() {
 		List<ServerView> withCapacity = List.of(server("near", 1), remote("far", 0));
-		assertThat(CandidateFilter.localUnlessFull(withCapacity, 1)).extracting(ServerView::name).containsExactly("near");
+		assertThat(CandidateFilter.localUnlessFull(withCapacity, 1)).extracting(ServerView::name)
+			.containsExactly("near");
 		List<ServerView> full = List.of(server("near", 30), remote("far", 0));
 		assertThat(CandidateFilter.localUnlessFull(full, 1)).extracting(ServerView::name).containsExactly("far");
 		List<ServerView> allFull = List.of(server("near", 30), remote("far", 30));
--- a/decide/src/test/java/org/snowwind/decide/limit/ServerLimitTests.java
+++ b/decide/src/test/java/org/snowwind/decide/limit/ServerLimitTests.java
@@ -57,7 +57,8 @@
 		this.limit.onAnnouncement(3, 1000, 1100);
 		LimitReport word = this.limit.report();
 		for (int round = 1; round < 100; round++) {
-			this.limit.onPeerReport(new LimitReport(word.perSecond(), this.limit.report().atMillis() + 20), 1100 + round * 100L);
+			this.limit.onPeerReport(new LimitReport(word.perSecond(), this.limit.report().atMillis() + 20),
+					1100 + round * 100L);
 		}
 		assertThat(this.limit.report()).isEqualTo(word);
 	}
--- a/decide/src/test/java/org/snowwind/decide/outcome/DeliveredBytesAreOnlyContinuedTests.java
+++ b/decide/src/test/java/org/snowwind/decide/outcome/DeliveredBytesAreOnlyContinuedTests.java
@@ -27,7 +27,8 @@
 
 	@Test
 	void streamThatFailsAtTheDeadlineReportsTheDeadline() {
-		RetryContext late = new RetryContext(AttemptEnd.BEGAN_THEN_BROKE, true, true, 100, 1, 3, 0, true, true, false, null);
+		RetryContext late = new RetryContext(AttemptEnd.BEGAN_THEN_BROKE, true, true, 100, 1, 3, 0, true, true, false,
+				null);
 		assertThat(this.rule.decide(late)).isEqualTo(NextStep.finish(Disclosure.FAILED, ProblemKind.DEADLINE));
 	}
 
--- a/decide/src/test/java/org/snowwind/decide/outcome/NextStepRulesTests.java
+++ b/decide/src/test/java/org/snowwind/decide/outcome/NextStepRulesTests.java
@@ -14,8 +14,8 @@
 	void workThatMayHaveBegunIsNotRetriedUnlessRepeatable(@ForAll AttemptEnd end, @ForAll boolean resumable,
 			@ForAll @LongRange(min = 0, max = 2) long bytes, @ForAll @IntRange(min = 1, max = 4) int attempts,
 			@ForAll @LongRange(min = -1, max = 1) long remaining, @ForAll boolean budget, @ForAll boolean server) {
-		RetryContext context = new RetryContext(end, false, resumable, bytes, attempts, 3, remaining, budget, server, false,
-				null);
+		RetryContext context = new RetryContext(end, false, resumable, bytes, attempts, 3, remaining, budget, server,
+				false, null);
 		NextStep step = NextStepRules.decide(context);
 		if (!end.provesNotRun()) {
 			assertThat(step).isNotSameAs(NextStep.SEND).isNotSameAs(NextStep.RESUME);
@@ -26,8 +26,8 @@
 	void notRunIsReportedOnlyWithProof(@ForAll AttemptEnd end, @ForAll boolean repeatable, @ForAll boolean resumable,
 			@ForAll @LongRange(min = 0, max = 2) long bytes, @ForAll @IntRange(min = 1, max = 4) int attempts,
 			@ForAll @LongRange(min = -1, max = 1) long remaining, @ForAll boolean budget, @ForAll boolean server) {
-		RetryContext context = new RetryContext(end, repeatable, resumable, bytes, attempts, 3, remaining, budget, server,
-				false, null);
+		RetryContext context = new RetryContext(end, repeatable, resumable, bytes, attempts, 3, remaining, budget,
+				server, false, null);
 		NextStep step = NextStepRules.decide(context);
 		if (step instanceof NextStep.Finish finish && finish.disclosure() == Disclosure.NOT_RUN) {
 			assertThat(end.provesNotRun()).isTrue();
@@ -38,8 +38,8 @@
 	void partlyDeliveredAnswerIsNeverRestarted(@ForAll AttemptEnd end, @ForAll boolean repeatable,
 			@ForAll boolean resumable, @ForAll @IntRange(min = 1, max = 4) int attempts,
 			@ForAll @LongRange(min = -1, max = 1) long remaining, @ForAll boolean budget, @ForAll boolean server) {
-		RetryContext context = new RetryContext(end, repeatable, resumable, 1, attempts, 3, remaining, budget, server, false,
-				null);
+		RetryContext context = new RetryContext(end, repeatable, resumable, 1, attempts, 3, remaining, budget, server,
+				false, null);
 		assertThat(NextStepRules.decide(context)).isNotSameAs(NextStep.SEND);
 	}
 
--- a/entry/src/main/java/org/snowwind/entry/member/PeerTable.java
+++ b/entry/src/main/java/org/snowwind/entry/member/PeerTable.java
@@ -190,7 +190,8 @@
 		List<String> names = new ArrayList<>();
 		names.add(this.ownName);
 		liveHere().forEach((peer) -> names.add(peer.name()));
-		return RendezvousHashing.highestRanked(names, (name) -> name, seed + this.dataCentre, count).contains(this.ownName);
+		return RendezvousHashing.highestRanked(names, (name) -> name, seed + this.dataCentre, count)
+			.contains(this.ownName);
 	}
 
 	private List<Peer> liveHere() {
--- a/entry/src/main/java/org/snowwind/entry/request/Attempt.java
+++ b/entry/src/main/java/org/snowwind/entry/request/Attempt.java
@@ -255,7 +255,8 @@
 		long nowMillis = this.context.clock().nowMillis();
 		switch (end) {
 			case ANSWERED -> this.server.breaker().recordSuccess(nowMillis);
-			case NOT_SENT, SENT_THEN_LOST, LOST_FOR_GOOD, BEGAN_THEN_BROKE -> this.server.breaker().recordFailure(nowMillis);
+			case NOT_SENT, SENT_THEN_LOST, LOST_FOR_GOOD, BEGAN_THEN_BROKE ->
+				this.server.breaker().recordFailure(nowMillis);
 			case REFUSED -> noteRefusal();
 			case REVOKED -> this.server.breaker().recordWithdrawn();
 		}
--- a/gateway/src/main/java/org/snowwind/gateway/GatewayDaemon.java
+++ b/gateway/src/main/java/org/snowwind/gateway/GatewayDaemon.java
@@ -253,7 +253,8 @@
 	}
 
 	private void registerMeters(MeterRegistry registry) {
-		Gauge.builder("snowwind.gateway.open.requests", this.handler, GatewayHandler::openRequestCount).register(registry);
+		Gauge.builder("snowwind.gateway.open.requests", this.handler, GatewayHandler::openRequestCount)
+			.register(registry);
 		this.copies.registerMeters(registry);
 		Gauge.builder("snowwind.gateway.requests.suspected", () -> this.suspects.view().suspects().size())
 			.register(registry);
@@ -462,7 +463,8 @@
 
 		@Override
 		public void peersChanged(Map<String, Integer> peersInFlight, double unheardFactor) {
-			GatewayDaemon.this.loop.run(() -> GatewayDaemon.this.backends.updatePeersInFlight(peersInFlight, unheardFactor));
+			GatewayDaemon.this.loop
+				.run(() -> GatewayDaemon.this.backends.updatePeersInFlight(peersInFlight, unheardFactor));
 		}
 
 		@Override
--- a/gateway/src/main/java/org/snowwind/gateway/GatewayLimits.java
+++ b/gateway/src/main/java/org/snowwind/gateway/GatewayLimits.java
@@ -60,7 +60,8 @@
 				new ServerCalls.Restrictions(() -> this.told.activeLimits(), () -> this.backoffs), this::onNotice,
 				parts.clock());
 		Gauge.builder("snowwind.gateway.servers.backing.off", () -> this.backoffs.size()).register(parts.registry());
-		Gauge.builder("snowwind.gateway.servers.limited", () -> this.told.activeLimits().size()).register(parts.registry());
+		Gauge.builder("snowwind.gateway.servers.limited", () -> this.told.activeLimits().size())
+			.register(parts.registry());
 		Gauge.builder("snowwind.gateway.limits.granted.per.second", () -> this.told.grantedPerSecond())
 			.register(parts.registry());
 	}
--- a/gateway/src/main/java/org/snowwind/gateway/backend/Arrival.java
+++ b/gateway/src/main/java/org/snowwind/gateway/backend/Arrival.java
@@ -30,7 +30,8 @@
 	}
 
 	ServerRequirements requirements() {
-		return new ServerRequirements(this.service, this.tried, this.maxQueuedAtServer, this.engine, this.pauseTargetMillis);
+		return new ServerRequirements(this.service, this.tried, this.maxQueuedAtServer, this.engine,
+				this.pauseTargetMillis);
 	}
 
 }
--- a/gateway/src/main/java/org/snowwind/gateway/backend/Backend.java
+++ b/gateway/src/main/java/org/snowwind/gateway/backend/Backend.java
@@ -30,7 +30,8 @@
 	 * is down for seconds. After an ejection its share of the requests rises back to the
 	 * full share within a second.
 	 */
-	private static final CircuitBreaker.BreakerSettings EJECTION = new CircuitBreaker.BreakerSettings(2, 500, 1000, 0.3);
+	private static final CircuitBreaker.BreakerSettings EJECTION = new CircuitBreaker.BreakerSettings(2, 500, 1000,
+			0.3);
 
 	private final CircuitBreaker breaker = new CircuitBreaker(EJECTION);
 
--- a/gateway/src/main/java/org/snowwind/gateway/backend/BackendLimit.java
+++ b/gateway/src/main/java/org/snowwind/gateway/backend/BackendLimit.java
@@ -58,7 +58,8 @@
 	public void onResponseHead(AnnouncedLimit limit, boolean signed, long sentMillis, long nowMillis) {
 		double before = this.known.perSecond();
 		if (limit instanceof AnnouncedLimit.Rate rate) {
-			logChange(this.known.onAnnouncement(rate.perSecond(), sentMillis, nowMillis), before, OWN_RESPONSE, nowMillis);
+			logChange(this.known.onAnnouncement(rate.perSecond(), sentMillis, nowMillis), before, OWN_RESPONSE,
+					nowMillis);
 		}
 		else if (limit instanceof AnnouncedLimit.Unreadable unreadable) {
 			logUnreadable(unreadable);
--- a/gateway/src/main/java/org/snowwind/gateway/backend/BackendTable.java
+++ b/gateway/src/main/java/org/snowwind/gateway/backend/BackendTable.java
@@ -260,8 +260,8 @@
 		return (requirements.engine() != null) ? WEIGHTED_RANDOM : LEAST_UTILIZED;
 	}
 
-	private void addIfRoom(List<Candidate> candidates, Backend backend, ServerRequirements requirements, double groupRoom,
-			long nowMillis) {
+	private void addIfRoom(List<Candidate> candidates, Backend backend, ServerRequirements requirements,
+			double groupRoom, long nowMillis) {
 		BackendView view = backend.view(nowMillis);
 		if (groupRoom > 0 && backend.admits(nowMillis) && view.room(requirements.maxQueuedAtServer()) > 0) {
 			candidates.add(new Candidate(backend, view.utilization(),
--- a/gateway/src/main/java/org/snowwind/gateway/backend/ServerRequirements.java
+++ b/gateway/src/main/java/org/snowwind/gateway/backend/ServerRequirements.java
@@ -23,7 +23,8 @@
 	 * @return new requirements
 	 */
 	public ServerRequirements withoutExclusions() {
-		return new ServerRequirements(this.service, Set.of(), this.maxQueuedAtServer, this.engine, this.pauseTargetMillis);
+		return new ServerRequirements(this.service, Set.of(), this.maxQueuedAtServer, this.engine,
+				this.pauseTargetMillis);
 	}
 
 }
--- a/gateway/src/main/java/org/snowwind/gateway/backend/SharedLimits.java
+++ b/gateway/src/main/java/org/snowwind/gateway/backend/SharedLimits.java
@@ -140,7 +140,9 @@
 	}
 
 	private Optional<BackendLimit> limitOf(BackendIncarnation run) {
-		return this.lookup.apply(run.id()).filter((backend) -> backend.entry().incarnation().mayEqual(run)).map(Backend::limit);
+		return this.lookup.apply(run.id())
+			.filter((backend) -> backend.entry().incarnation().mayEqual(run))
+			.map(Backend::limit);
 	}
 
 	// Divides the demand for a service among its limited servers in proportion to their
--- a/gateway/src/main/java/org/snowwind/gateway/expert/GroupBook.java
+++ b/gateway/src/main/java/org/snowwind/gateway/expert/GroupBook.java
@@ -51,8 +51,8 @@
 			value.properties()
 				.forEach((group) -> group.getValue()
 					.properties()
-					.forEach((server) -> members.put(new BackendIncarnation(server.getKey(), server.getValue().asLong()),
-							group.getKey())));
+					.forEach((server) -> members
+						.put(new BackendIncarnation(server.getKey(), server.getValue().asLong()), group.getKey())));
 		}
 		return members;
 	}
--- a/gateway/src/main/java/org/snowwind/gateway/expert/RankProtocol.java
+++ b/gateway/src/main/java/org/snowwind/gateway/expert/RankProtocol.java
@@ -80,7 +80,8 @@
 	/**
 	 * Reads from any answer of a rank when the rank was started.
 	 * @param document the answer
-	 * @return the Unix milliseconds, {@link BackendIncarnation#UNKNOWN} if it does not say
+	 * @return the Unix milliseconds, {@link BackendIncarnation#UNKNOWN} if it does not
+	 * say
 	 * @throws DocumentException if it says something that is no such number
 	 */
 	long bornMillis(JsonNode document) throws DocumentException;
--- a/gateway/src/main/java/org/snowwind/gateway/limit/LimitDuty.java
+++ b/gateway/src/main/java/org/snowwind/gateway/limit/LimitDuty.java
@@ -219,8 +219,8 @@
 	 * @param wishes the demand of this gateway for the rates of limited servers
 	 * @param grants receives the shares that are granted to this gateway
 	 */
-	public record LocalGateway(Supplier<Map<String, String>> peers, BooleanSupplier leaving, Supplier<List<Wish>> wishes,
-			GrantListener grants) {
+	public record LocalGateway(Supplier<Map<String, String>> peers, BooleanSupplier leaving,
+			Supplier<List<Wish>> wishes, GrantListener grants) {
 
 	}
 
--- a/gateway/src/main/java/org/snowwind/gateway/limit/LimitMessages.java
+++ b/gateway/src/main/java/org/snowwind/gateway/limit/LimitMessages.java
@@ -43,7 +43,8 @@
 	 */
 	public static List<LimitAnnouncement> fromMessages(List<LimitNews> messages, long nowMillis) {
 		return messages.stream()
-			.map((message) -> new LimitAnnouncement(new BackendIncarnation(message.getServer(), message.getBornMillis()),
+			.map((message) -> new LimitAnnouncement(
+					new BackendIncarnation(message.getServer(), message.getBornMillis()),
 					new LimitReport(message.getPerSecond(), nowMillis - Math.max(0, message.getAgeMillis()))))
 			.toList();
 	}
--- a/gateway/src/main/java/org/snowwind/gateway/peer/CallSchedule.java
+++ b/gateway/src/main/java/org/snowwind/gateway/peer/CallSchedule.java
@@ -54,8 +54,8 @@
 	// that were discovered together spread over the period.
 	private PeerCalls next(String address, PeerCalls calls, long nowMillis, long periodMillis) {
 		if (calls == null) {
-			double fraction = (double) Math.floorMod(RendezvousHashing.hash(this.ownAddress + ' ' + address), HASH_BUCKETS)
-					/ HASH_BUCKETS;
+			double fraction = (double) Math.floorMod(RendezvousHashing.hash(this.ownAddress + ' ' + address),
+					HASH_BUCKETS) / HASH_BUCKETS;
 			return new PeerCalls(nowMillis + Math.round(periodMillis * (MIN_FIRST_DELAY_PERIODS + fraction)), 1);
 		}
 		boolean onTime = nowMillis - calls.nextMillis() < periodMillis;
--- a/gateway/src/main/java/org/snowwind/gateway/peer/PeerMesh.java
+++ b/gateway/src/main/java/org/snowwind/gateway/peer/PeerMesh.java
@@ -236,7 +236,8 @@
 
 	private void fetchIfNewer(GatewayDocument kind, long peerRevision, String address) {
 		long own = this.documents.revisionOf(kind);
-		if (!this.fetches.tryBegin(kind, peerRevision, own, this.consumers.isStoreUnavailable(), this.clock.nowMillis())) {
+		if (!this.fetches.tryBegin(kind, peerRevision, own, this.consumers.isStoreUnavailable(),
+				this.clock.nowMillis())) {
 			return;
 		}
 		ThriftLink<GatewayControl.AsyncClient> link = this.links.computeIfAbsent(address, this::connect);
--- a/gateway/src/main/java/org/snowwind/gateway/request/Attempt.java
+++ b/gateway/src/main/java/org/snowwind/gateway/request/Attempt.java
@@ -88,9 +88,10 @@
 		this.idleTimeoutMillis = timeouts.idleMillis();
 		this.timeoutTimer = this.context.loop()
 			.later(() -> abort("no response head within the timeout"), timeouts.firstByteMillis());
-		AttemptMetadata attemptMetadata = new AttemptMetadata(this.backend.id(), remainingMillis, this.request.organisation(),
-				this.afterId, this.request.host());
-		Map<String, String> headers = this.context.dialect().backendRequestHeaders(this.request.headers(), attemptMetadata);
+		AttemptMetadata attemptMetadata = new AttemptMetadata(this.backend.id(), remainingMillis,
+				this.request.organisation(), this.afterId, this.request.host());
+		Map<String, String> headers = this.context.dialect()
+			.backendRequestHeaders(this.request.headers(), attemptMetadata);
 		String url = "http://" + this.backend.entry().address() + this.request.target();
 		this.call = this.context.client()
 			.send(new UpstreamRequest(this.request.method(), url, headers, this.request.body()), this);
@@ -216,7 +217,8 @@
 	}
 
 	private ResponseBuffer bufferFor(int answerStatus, Map<String, String> headers) {
-		boolean stream = this.request.route().repeatPolicy() == RepeatPolicy.STREAM && answerStatus == ResponseBuffer.OK;
+		boolean stream = this.request.route().repeatPolicy() == RepeatPolicy.STREAM
+				&& answerStatus == ResponseBuffer.OK;
 		return stream ? ResponseBuffer.ofStream(headers, this.afterId)
 				: ResponseBuffer.ofPlainResponse(answerStatus, headers);
 	}
--- a/gateway/src/main/java/org/snowwind/gateway/request/AttemptMetadata.java
+++ b/gateway/src/main/java/org/snowwind/gateway/request/AttemptMetadata.java
@@ -11,6 +11,7 @@
  * to start at the beginning
  * @param host the host of the caller's request
  */
-public record AttemptMetadata(String serverId, long remainingMillis, String organisation, String lastEventId, String host) {
+public record AttemptMetadata(String serverId, long remainingMillis, String organisation, String lastEventId,
+		String host) {
 
 }
--- a/gateway/src/main/java/org/snowwind/gateway/request/GatewayHandler.java
+++ b/gateway/src/main/java/org/snowwind/gateway/request/GatewayHandler.java
@@ -152,8 +152,8 @@
 			}
 			CallerRequest request = new CallerRequest(metadata, exchange.method(), exchange.target(),
 					exchange.header("Host"), headers, body, routing.route(),
-					table.chooseService(routing.route(), this.context.random()), routing.organisation(), table.version(),
-					arrivedMillis);
+					table.chooseService(routing.route(), this.context.random()), routing.organisation(),
+					table.version(), arrivedMillis);
 			logRouted(request);
 			if (this.stop != null) {
 				logDuringStop(Event.TAKEN_IN_STOP, exchange, metadata, deadlineMillis);
@@ -208,7 +208,8 @@
 		TableFreshness.State freshness = this.freshness.state();
 		EventLog.log(Event.REQUEST_REFUSED, "request", metadata.requestId(), "kind", problem.kind().code(), "table",
 				table.version(), "unconfirmedMillis", freshness.unconfirmedMillis(), "toldVersion",
-				freshness.newestPeerVersion(), "toldBy", freshness.newestPeerAddress(), "behindMillis", freshness.behindMillis());
+				freshness.newestPeerVersion(), "toldBy", freshness.newestPeerAddress(), "behindMillis",
+				freshness.behindMillis());
 		openRequest.markEnded();
 		ErrorResponses.send(exchange, this.context.dialect(), metadata.requestId(), problem);
 	}
@@ -225,9 +226,9 @@
 	private void logRouted(CallerRequest request) {
 		EventLog.log(Event.REQUEST_ROUTED, "request", request.id(), "route", request.route().name(), "service",
 				request.service(), "organisation", request.organisation(), "table", request.tableVersion(),
-				"patienceMillis", request.metadata().timeoutMillis(), "promptTokens",
-				request.metadata().promptTokens(), "bodyBytes", request.body().length, "targetMillis",
-				request.route().targetMillis(), "pauseTargetMillis", request.route().pauseTargetMillis());
+				"patienceMillis", request.metadata().timeoutMillis(), "promptTokens", request.metadata().promptTokens(),
+				"bodyBytes", request.body().length, "targetMillis", request.route().targetMillis(), "pauseTargetMillis",
+				request.route().pauseTargetMillis());
 	}
 
 	/**
--- a/gateway/src/main/java/org/snowwind/gateway/request/RequestMetadata.java
+++ b/gateway/src/main/java/org/snowwind/gateway/request/RequestMetadata.java
@@ -6,8 +6,8 @@
  * Metadata that a caller sends in the headers of its request.
  *
  * @param requestId the caller's id of this attempt; {@code null} if it sent none
- * @param timeoutMillis how long the caller waits for the response, in milliseconds; -1
- * if it sent no timeout
+ * @param timeoutMillis how long the caller waits for the response, in milliseconds; -1 if
+ * it sent no timeout
  * @param apiKey the API key of the caller's organisation; {@code null} if it sent none
  * @param lastEventId id of the last event of the stream that the caller has; {@code null}
  * to start at the beginning
@@ -25,8 +25,7 @@
 	 * milliseconds
 	 */
 	long allowedMillis(Route route) {
-		return (this.timeoutMillis >= 0) ? Math.min(this.timeoutMillis, route.timeoutMillis())
-				: route.timeoutMillis();
+		return (this.timeoutMillis >= 0) ? Math.min(this.timeoutMillis, route.timeoutMillis()) : route.timeoutMillis();
 	}
 
 }
--- a/gateway/src/main/java/org/snowwind/gateway/request/ResponseMetadata.java
+++ b/gateway/src/main/java/org/snowwind/gateway/request/ResponseMetadata.java
@@ -6,8 +6,8 @@
  * Metadata that a backend server sends in the headers of a response.
  *
  * @param rejected whether the server promises that it did not run the request
- * @param fromOtherInstance whether the response does not come from the server incarnation that
- * was addressed
+ * @param fromOtherInstance whether the response does not come from the server incarnation
+ * that was addressed
  * @param signed whether the response carries the server's signature
  * @param requestId the id of the request that the response belongs to; {@code null} if it
  * has none
@@ -16,8 +16,8 @@
  * @param notice the server's announcements about its availability, such as rate limits or
  * its shutdown
  */
-public record ResponseMetadata(boolean rejected, boolean fromOtherInstance, boolean signed, String requestId, boolean encoded,
-		ServerNotice notice) {
+public record ResponseMetadata(boolean rejected, boolean fromOtherInstance, boolean signed, String requestId,
+		boolean encoded, ServerNotice notice) {
 
 	private static final int OK = 200;
 
--- a/gateway/src/main/java/org/snowwind/gateway/suspect/Suspects.java
+++ b/gateway/src/main/java/org/snowwind/gateway/suspect/Suspects.java
@@ -98,7 +98,8 @@
 	}
 
 	private static String nameOf(BackendIncarnation server) {
-		return (server.bornMillis() == BackendIncarnation.UNKNOWN) ? server.id() : server.id() + "@" + server.bornMillis();
+		return (server.bornMillis() == BackendIncarnation.UNKNOWN) ? server.id()
+				: server.id() + "@" + server.bornMillis();
 	}
 
 	/**
--- a/gateway/src/main/java/org/snowwind/gateway/table/Route.java
+++ b/gateway/src/main/java/org/snowwind/gateway/table/Route.java
@@ -22,8 +22,9 @@
  * @param resumable whether a stream may be resumed at another server
  * @param shares the services and their weights, at least one
  */
-public record Route(String name, String host, String pathPrefix, RepeatPolicy repeatPolicy, long timeoutMillis, long targetMillis,
-		long pauseTargetMillis, int priority, int maxAttempts, boolean open, boolean resumable, List<Share> shares) {
+public record Route(String name, String host, String pathPrefix, RepeatPolicy repeatPolicy, long timeoutMillis,
+		long targetMillis, long pauseTargetMillis, int priority, int maxAttempts, boolean open, boolean resumable,
+		List<Share> shares) {
 
 	/**
 	 * Copies the shares.
@@ -38,7 +39,8 @@
 	 * @return true if the request may be repeated
 	 */
 	public boolean repeatable() {
-		return this.repeatPolicy == RepeatPolicy.IDEMPOTENT || (this.repeatPolicy == RepeatPolicy.STREAM && this.resumable);
+		return this.repeatPolicy == RepeatPolicy.IDEMPOTENT
+				|| (this.repeatPolicy == RepeatPolicy.STREAM && this.resumable);
 	}
 
 	/**
--- a/gateway/src/main/java/org/snowwind/gateway/table/TableFreshness.java
+++ b/gateway/src/main/java/org/snowwind/gateway/table/TableFreshness.java
@@ -118,11 +118,13 @@
 	 * @param unconfirmedMillis the time since the table was last confirmed to be the
 	 * newest, in milliseconds
 	 * @param newestPeerVersion the newest version that a peer has reported, 0 if none has
-	 * @param newestPeerAddress the address of the peer that reported it first, empty if none has
+	 * @param newestPeerAddress the address of the peer that reported it first, empty if
+	 * none has
 	 * @param behindMillis the time since a peer first reported a newer version, in
 	 * milliseconds; 0 if no peer has reported one
 	 */
-	public record State(long version, long unconfirmedMillis, long newestPeerVersion, String newestPeerAddress, long behindMillis) {
+	public record State(long version, long unconfirmedMillis, long newestPeerVersion, String newestPeerAddress,
+			long behindMillis) {
 
 		/**
 		 * Returns whether a peer has reported a newer table.
--- a/gateway/src/test/java/org/snowwind/gateway/backend/AdmissionTests.java
+++ b/gateway/src/test/java/org/snowwind/gateway/backend/AdmissionTests.java
@@ -99,7 +99,8 @@
 
 	private void grant(double perSecond) {
 		this.table.limits()
-			.applyGrants(List.of(new SharedLimits.Grant(BackendIncarnation.of("r"), new RateGrant(4, perSecond, 1, 0, 60_000))),
+			.applyGrants(List
+				.of(new SharedLimits.Grant(BackendIncarnation.of("r"), new RateGrant(4, perSecond, 1, 0, 60_000))),
 					this.clock.nowMillis());
 	}
 
@@ -154,7 +155,9 @@
 
 	@Test
 	void announcementsFromPeersAreAppliedAndForwarded() {
-		this.table.limits().onPeerAnnouncements(List.of(new SharedLimits.LimitAnnouncement(BackendIncarnation.of("r"), new LimitReport(3, 9_000))));
+		this.table.limits()
+			.onPeerAnnouncements(
+					List.of(new SharedLimits.LimitAnnouncement(BackendIncarnation.of("r"), new LimitReport(3, 9_000))));
 		assertThat(this.table.limits().snapshot().activeLimits()).isEqualTo(Map.of("r", 3.0));
 		assertThat(this.table.limits().snapshot().announcements())
 			.containsExactly(new SharedLimits.LimitAnnouncement(BackendIncarnation.of("r"), new LimitReport(3, 9_000)));
--- a/gateway/src/test/java/org/snowwind/gateway/backend/BackendTableTests.java
+++ b/gateway/src/test/java/org/snowwind/gateway/backend/BackendTableTests.java
@@ -42,8 +42,8 @@
 	}
 
 	private void register(BackendEntry... servers) {
-		this.table
-			.update(new Registry(1, Stream.of(servers).collect(Collectors.toMap(BackendEntry::id, (server) -> server))));
+		this.table.update(
+				new Registry(1, Stream.of(servers).collect(Collectors.toMap(BackendEntry::id, (server) -> server))));
 	}
 
 	private String choose(Set<String> tried) {
@@ -117,8 +117,8 @@
 		Map<String, Integer> staleLoads = new HashMap<>();
 		BackendEntry[] ranks = new BackendEntry[SERVERS];
 		for (int i = 0; i < SERVERS; i++) {
-			ranks[i] = new BackendEntry("r" + i, BackendIncarnation.UNKNOWN, "s", "10.0.0.1", 80 + i, "dc", ENGINE.slots(),
-					false);
+			ranks[i] = new BackendEntry("r" + i, BackendIncarnation.UNKNOWN, "s", "10.0.0.1", 80 + i, "dc",
+					ENGINE.slots(), false);
 			staleLoads.put("r" + i, (i == 0) ? 0 : 4);
 		}
 		// Neighbouring seeds give nearly the same first draw.
@@ -126,8 +126,8 @@
 		int pickedEmptyServer = 0;
 		for (int gateway = 0; gateway < GATEWAYS; gateway++) {
 			BackendTable ofGateway = new BackendTable(this.clock, new Random(seeds.nextLong()), "dc", () -> 1);
-			ofGateway
-				.update(new Registry(1, Stream.of(ranks).collect(Collectors.toMap(BackendEntry::id, (server) -> server))));
+			ofGateway.update(
+					new Registry(1, Stream.of(ranks).collect(Collectors.toMap(BackendEntry::id, (server) -> server))));
 			ofGateway.updatePeersInFlight(staleLoads, 1);
 			Optional<Backend> chosen = ofGateway.choose(new ServerRequirements("s", NONE, 0, ENGINE, 120));
 			pickedEmptyServer += chosen.orElseThrow().id().equals("r0") ? 1 : 0;
--- a/gateway/src/test/java/org/snowwind/gateway/backend/LoadModel.java
+++ b/gateway/src/test/java/org/snowwind/gateway/backend/LoadModel.java
@@ -67,8 +67,8 @@
 		this.scenario = scenario;
 		this.random = new Random(seed);
 		Map<String, BackendEntry> entries = IntStream.range(0, scenario.ranks())
-			.mapToObj((i) -> new BackendEntry("r" + i, BackendIncarnation.UNKNOWN, SERVICE, "10.0.0.1", 80 + i, dataCentre(i),
-					scenario.engine().slots(), false))
+			.mapToObj((i) -> new BackendEntry("r" + i, BackendIncarnation.UNKNOWN, SERVICE, "10.0.0.1", 80 + i,
+					dataCentre(i), scenario.engine().slots(), false))
 			.collect(Collectors.toMap(BackendEntry::id, (entry) -> entry));
 		entries.keySet().forEach((id) -> this.streamsByServer.put(id, new ArrayList<>()));
 		for (int i = 0; i < scenario.gateways(); i++) {
--- a/gateway/src/test/java/org/snowwind/gateway/backend/ReturnModel.java
+++ b/gateway/src/test/java/org/snowwind/gateway/backend/ReturnModel.java
@@ -67,8 +67,8 @@
 		this.scenario = scenario;
 		this.random = new Random(seed);
 		Map<String, BackendEntry> entries = IntStream.range(0, scenario.servers())
-			.mapToObj((i) -> new BackendEntry("r" + i, BackendIncarnation.UNKNOWN, SERVICE, "10.0.0.1", 80 + i, "dc", SLOTS,
-					false))
+			.mapToObj((i) -> new BackendEntry("r" + i, BackendIncarnation.UNKNOWN, SERVICE, "10.0.0.1", 80 + i, "dc",
+					SLOTS, false))
 			.collect(Collectors.toMap(BackendEntry::id, (entry) -> entry));
 		entries.keySet().forEach((id) -> this.servers.add(new Server(id)));
 		for (int i = 0; i < scenario.gateways(); i++) {
--- a/gateway/src/test/java/org/snowwind/gateway/backend/ServerPickTests.java
+++ b/gateway/src/test/java/org/snowwind/gateway/backend/ServerPickTests.java
@@ -25,8 +25,10 @@
 	}
 
 	private static Candidate candidate(String id, double fullness, double roomShare, boolean near) {
-		return new Candidate(new Backend(new BackendEntry(id, BackendIncarnation.UNKNOWN, "s", "10.0.0.1", 80, "dc", 8, false),
-				new BackendNotices(BackendIncarnation.of(id))), fullness, roomShare, near);
+		return new Candidate(
+				new Backend(new BackendEntry(id, BackendIncarnation.UNKNOWN, "s", "10.0.0.1", 80, "dc", 8, false),
+						new BackendNotices(BackendIncarnation.of(id))),
+				fullness, roomShare, near);
 	}
 
 	private Map<String, Integer> countPicks(ServerPick pick, List<Candidate> candidates) {
--- a/gateway/src/test/java/org/snowwind/gateway/expert/GroupDirectoryTests.java
+++ b/gateway/src/test/java/org/snowwind/gateway/expert/GroupDirectoryTests.java
@@ -87,8 +87,11 @@
 				new ServerCalls.Restrictions(() -> this.limits, () -> this.backoffs), (run, notice, sentMillis) -> {
 				}, this.clock), this.store,
 				new GroupDirectory.Sources(
-						() -> this.servers.stream().filter((one) -> !this.found.containsKey(one.incarnation())).toList(),
-						() -> Set.copyOf(this.servers.stream().map(BackendEntry::incarnation).toList()), () -> planning),
+						() -> this.servers.stream()
+							.filter((one) -> !this.found.containsKey(one.incarnation()))
+							.toList(),
+						() -> Set.copyOf(this.servers.stream().map(BackendEntry::incarnation).toList()),
+						() -> planning),
 				this.found::put, this.clock);
 	}
 
--- a/gateway/src/test/java/org/snowwind/gateway/expert/RankCallsTests.java
+++ b/gateway/src/test/java/org/snowwind/gateway/expert/RankCallsTests.java
@@ -128,7 +128,8 @@
 	}
 
 	private Rank rank(String serverId) {
-		RankReport report = new RankReport("g", 1, 0, 1, true, 0, 1, 0, 0, RankReport.NOT_HELD, BackendIncarnation.UNKNOWN);
+		RankReport report = new RankReport("g", 1, 0, 1, true, 0, 1, 0, 0, RankReport.NOT_HELD,
+				BackendIncarnation.UNKNOWN);
 		return new Rank(BackendIncarnation.of(serverId), "127.0.0.1:" + this.socket.getLocalPort(), report);
 	}
 
--- a/gateway/src/test/java/org/snowwind/gateway/expert/RankSampleTests.java
+++ b/gateway/src/test/java/org/snowwind/gateway/expert/RankSampleTests.java
@@ -35,7 +35,8 @@
 
 	private static List<BackendEntry> ranks(int count) {
 		return IntStream.range(0, count)
-			.mapToObj((i) -> new BackendEntry("r" + i, BackendIncarnation.UNKNOWN, "s", "10.0.0.1", 80 + i, "dc", 4, false))
+			.mapToObj((i) -> new BackendEntry("r" + i, BackendIncarnation.UNKNOWN, "s", "10.0.0.1", 80 + i, "dc", 4,
+					false))
 			.toList();
 	}
 
--- a/gateway/src/test/java/org/snowwind/gateway/request/GatewayFixture.java
+++ b/gateway/src/test/java/org/snowwind/gateway/request/GatewayFixture.java
@@ -133,7 +133,8 @@
 	private GatewayFixture withRoutes(Map<String, ServiceEntry> services) {
 		List<Route> routes = List.of(route("once", RepeatPolicy.AT_MOST_ONCE, 1, false),
 				route("many", RepeatPolicy.IDEMPOTENT, 2, false), route("stream", RepeatPolicy.STREAM, 2, true),
-				route("frail", RepeatPolicy.STREAM, 1, false), route("single", RepeatPolicy.STREAM, 10_000, 400, 1, true),
+				route("frail", RepeatPolicy.STREAM, 1, false),
+				route("single", RepeatPolicy.STREAM, 10_000, 400, 1, true),
 				route("patient", RepeatPolicy.STREAM, 60_000, 60_000, 2, true));
 		this.tables.offer(new RouteTable(1, routes, services, Map.of("secret", new KeyHolder("org", 1)),
 				new RequestLimits(100_000, 15_000), new byte[0]), "test");
@@ -170,7 +171,8 @@
 
 	private void register(int port) {
 		String id = "server-" + this.entries.size();
-		this.entries.put(id, new BackendEntry(id, BackendIncarnation.UNKNOWN, "service", "127.0.0.1", port, "dc", 8, false));
+		this.entries.put(id,
+				new BackendEntry(id, BackendIncarnation.UNKNOWN, "service", "127.0.0.1", port, "dc", 8, false));
 		Map<String, Integer> peerLoad = new HashMap<>();
 		for (int i = 0; i < this.entries.size(); i++) {
 			peerLoad.put("server-" + i, i);
--- a/gateway/src/test/java/org/snowwind/gateway/request/TestDialect.java
+++ b/gateway/src/test/java/org/snowwind/gateway/request/TestDialect.java
@@ -14,7 +14,8 @@
 	@Override
 	public RequestMetadata readRequest(Map<String, String> headers) {
 		long timeoutMillis = Long.parseLong(headers.getOrDefault("t-patience", "-1"));
-		return new RequestMetadata(headers.get("t-id"), timeoutMillis, headers.get("t-key"), headers.get("t-last"), 0, 0);
+		return new RequestMetadata(headers.get("t-id"), timeoutMillis, headers.get("t-key"), headers.get("t-last"), 0,
+				0);
 	}
 
 	@Override
--- a/gateway/src/test/java/org/snowwind/gateway/table/RouteTableTests.java
+++ b/gateway/src/test/java/org/snowwind/gateway/table/RouteTableTests.java
@@ -14,7 +14,8 @@
 class RouteTableTests {
 
 	private static Route route(String name, String host, String prefix, Route.Share... shares) {
-		return new Route(name, host, prefix, RepeatPolicy.IDEMPOTENT, 1000, 100, 0, 1, 2, false, false, List.of(shares));
+		return new Route(name, host, prefix, RepeatPolicy.IDEMPOTENT, 1000, 100, 0, 1, 2, false, false,
+				List.of(shares));
 	}
 
 	private static RouteTable table(long version, Map<String, KeyHolder> keys, Route... routes) {
