--- a/agent/src/main/java/org/snowwind/agent/AgentControlService.java
+++ b/agent/src/main/java/org/snowwind/agent/AgentControlService.java
@@ -10,7 +10,7 @@
 import org.apache.thrift.TException;
 import org.snowwind.config.snapshot.AgentDocument;
 import org.snowwind.decide.ledger.AttemptId;
-import org.snowwind.decide.ledger.Ledger;
+import org.snowwind.decide.ledger.AttemptLedger;
 import org.snowwind.http.DataLoop;
 import org.snowwind.model.MonotonicClock;
 import org.snowwind.wire.Credentials;
@@ -93,7 +93,7 @@
 		return report;
 	}
 
-	private static RevokeVerdict verdictOf(Ledger.RevokeOutcome outcome) {
+	private static RevokeVerdict verdictOf(AttemptLedger.RevokeOutcome outcome) {
 		return switch (outcome) {
 			case BEGAN -> RevokeVerdict.BEGAN;
 			case NEVER_WILL_BEGIN -> RevokeVerdict.NEVER_WILL_BEGIN;
--- a/agent/src/main/java/org/snowwind/agent/AgentDaemon.java
+++ b/agent/src/main/java/org/snowwind/agent/AgentDaemon.java
@@ -15,7 +15,7 @@
 import org.snowwind.agent.backend.PlainProtocol;
 import org.snowwind.config.settings.Addresses;
 import org.snowwind.config.settings.AgentSettings;
-import org.snowwind.decide.ledger.Ledger;
+import org.snowwind.decide.ledger.AttemptLedger;
 import org.snowwind.decide.stop.StopSchedule;
 import org.snowwind.http.DataLoop;
 import org.snowwind.http.admin.AdminServer;
@@ -85,7 +85,7 @@
 	public AgentDaemon(AgentSettings settings) {
 		this.settings = settings;
 		long incarnation = ThreadLocalRandom.current().nextLong(1, Long.MAX_VALUE);
-		Ledger ledger = new Ledger(MAX_REMEMBERED_PER_ENTRY, MAX_RETIRED_ENTRIES);
+		AttemptLedger ledger = new AttemptLedger(MAX_REMEMBERED_PER_ENTRY, MAX_RETIRED_ENTRIES);
 		AgentState.Weights weights = new AgentState.Weights();
 		this.state = new AgentState(settings.name(), incarnation, ledger, lanes(ledger, weights), weights);
 		AttemptHandler handler = new AttemptHandler(this.state, this.clock, settings.fleetCredential());
@@ -94,7 +94,7 @@
 		registerMeters(this.admin.registry());
 	}
 
-	private Map<String, BackendLane> lanes(Ledger ledger, AgentState.Weights weights) {
+	private Map<String, BackendLane> lanes(AttemptLedger ledger, AgentState.Weights weights) {
 		BackendLane.LaneSettings bounds = new BackendLane.LaneSettings(this.settings.startConcurrency(),
 				this.settings.maxConcurrency(), this.settings.maxWaitingPerOrganisation());
 		Map<String, BackendLane> lanes = new HashMap<>();
--- a/agent/src/main/java/org/snowwind/agent/AgentState.java
+++ b/agent/src/main/java/org/snowwind/agent/AgentState.java
@@ -4,7 +4,7 @@
 
 import org.snowwind.agent.admission.BackendLane;
 import org.snowwind.config.snapshot.AgentDocument;
-import org.snowwind.decide.ledger.Ledger;
+import org.snowwind.decide.ledger.AttemptLedger;
 import org.snowwind.model.event.Event;
 import org.snowwind.model.event.EventLog;
 import org.snowwind.model.outcome.Problem;
@@ -22,7 +22,7 @@
 
 	private final long incarnation;
 
-	private final Ledger ledger;
+	private final AttemptLedger ledger;
 
 	private final Map<String, BackendLane> lanes;
 
@@ -40,7 +40,7 @@
 	 * @param lanes the back ends by target
 	 * @param weights the weights that the lanes use
 	 */
-	AgentState(String name, long incarnation, Ledger ledger, Map<String, BackendLane> lanes, Weights weights) {
+	AgentState(String name, long incarnation, AttemptLedger ledger, Map<String, BackendLane> lanes, Weights weights) {
 		this.name = name;
 		this.incarnation = incarnation;
 		this.ledger = ledger;
@@ -56,7 +56,7 @@
 		return this.incarnation;
 	}
 
-	Ledger ledger() {
+	AttemptLedger ledger() {
 		return this.ledger;
 	}
 
--- a/agent/src/main/java/org/snowwind/agent/admission/BackendLane.java
+++ b/agent/src/main/java/org/snowwind/agent/admission/BackendLane.java
@@ -10,7 +10,7 @@
 import org.snowwind.decide.admission.FairQueue;
 import org.snowwind.decide.admission.SlotReservations;
 import org.snowwind.decide.admission.QueueDelayEstimator;
-import org.snowwind.decide.ledger.Ledger;
+import org.snowwind.decide.ledger.AttemptLedger;
 import org.snowwind.http.client.UpstreamClient;
 import org.snowwind.model.MonotonicClock;
 import org.snowwind.model.outcome.Problem;
@@ -39,7 +39,7 @@
 
 	private final MonotonicClock clock;
 
-	private final Ledger ledger;
+	private final AttemptLedger ledger;
 
 	private final FairQueue<Work> queue;
 
@@ -61,7 +61,7 @@
 	 * @param weights the weight of an organisation by its name
 	 */
 	public BackendLane(BackendProtocol protocol, LaneSettings settings, UpstreamClient client, MonotonicClock clock,
-			Ledger ledger, ToDoubleFunction<String> weights) {
+			AttemptLedger ledger, ToDoubleFunction<String> weights) {
 		this.protocol = protocol;
 		this.client = client;
 		this.clock = clock;
@@ -194,8 +194,8 @@
 	}
 
 	private void begin(Work work) {
-		Ledger.BeginVerdict verdict = this.ledger.begin(work.id());
-		if (verdict != Ledger.BeginVerdict.MAY_BEGIN) {
+		AttemptLedger.BeginVerdict verdict = this.ledger.begin(work.id());
+		if (verdict != AttemptLedger.BeginVerdict.MAY_BEGIN) {
 			this.shares.abandoned(work.organisation());
 		}
 		switch (verdict) {
--- a/decide/src/main/java/org/snowwind/decide/burn/Tally.java
+++ b/decide/src/main/java/org/snowwind/decide/burn/RequestCounts.java
@@ -6,18 +6,18 @@
  * @param good how many requests met the objective
  * @param bad how many requests did not
  */
-public record Tally(long good, long bad) {
+public record RequestCounts(long good, long bad) {
 
 	/** No requests. */
-	public static final Tally NONE = new Tally(0, 0);
+	public static final RequestCounts NONE = new RequestCounts(0, 0);
 
 	/**
 	 * Returns the sum of this tally and another one.
 	 * @param other the other tally
 	 * @return the sum
 	 */
-	public Tally plus(Tally other) {
-		return new Tally(this.good + other.good, this.bad + other.bad);
+	public RequestCounts plus(RequestCounts other) {
+		return new RequestCounts(this.good + other.good, this.bad + other.bad);
 	}
 
 	/**
--- a/decide/src/main/java/org/snowwind/decide/ledger/Ledger.java
+++ b/decide/src/main/java/org/snowwind/decide/ledger/AttemptLedger.java
@@ -16,7 +16,7 @@
  * kept. The incarnation of an entry that has been silent for long is retired and not
  * accepted again. The number of retired incarnations that are kept is bounded too.
  */
-public final class Ledger {
+public final class AttemptLedger {
 
 	private final int maxAttemptsPerEntry;
 
@@ -33,7 +33,7 @@
 	 * @param maxRetired the maximum number of retired incarnations that are kept; the
 	 * oldest are dropped first
 	 */
-	public Ledger(int maxAttemptsPerEntry, int maxRetired) {
+	public AttemptLedger(int maxAttemptsPerEntry, int maxRetired) {
 		this.maxAttemptsPerEntry = maxAttemptsPerEntry;
 		this.maxRetired = maxRetired;
 	}
--- a/decide/src/test/java/org/snowwind/decide/burn/BurnTests.java
+++ b/decide/src/test/java/org/snowwind/decide/burn/BurnTests.java
@@ -21,8 +21,8 @@
 
 	@Test
 	void burnRateIsOneWhenTheBudgetLastsForItsWindow() {
-		assertThat(new Tally(999, 1).burnRate(0.999)).isCloseTo(1, within(1e-9));
-		assertThat(Tally.NONE.burnRate(0.999)).isZero();
+		assertThat(new RequestCounts(999, 1).burnRate(0.999)).isCloseTo(1, within(1e-9));
+		assertThat(RequestCounts.NONE.burnRate(0.999)).isZero();
 	}
 
 	@Test
--- a/decide/src/test/java/org/snowwind/decide/ledger/LedgerTests.java
+++ b/decide/src/test/java/org/snowwind/decide/ledger/AttemptLedgerTests.java
@@ -12,16 +12,16 @@
 import net.jqwik.api.Provide;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import org.snowwind.decide.ledger.Ledger.BeginVerdict;
-import org.snowwind.decide.ledger.Ledger.RevokeOutcome;
+import org.snowwind.decide.ledger.AttemptLedger.BeginVerdict;
+import org.snowwind.decide.ledger.AttemptLedger.RevokeOutcome;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-class LedgerTests {
+class AttemptLedgerTests {
 
 	private static final long ENTRY = 7;
 
-	private final Ledger ledger = new Ledger(4, 2);
+	private final AttemptLedger ledger = new AttemptLedger(4, 2);
 
 	@BeforeEach
 	void sendFirstHeartbeat() {
@@ -34,7 +34,7 @@
 
 	@Test
 	void allHeardAfterNeedsALaterHeartbeatOfEachEntry() {
-		Ledger otherLedger = new Ledger(8, 8);
+		AttemptLedger otherLedger = new AttemptLedger(8, 8);
 		assertThat(otherLedger.allHeardAfter(100)).isTrue();
 		otherLedger.heartbeat(1, 1, 100);
 		otherLedger.heartbeat(2, 1, 101);
@@ -102,7 +102,7 @@
 
 	@Property(seed = "20261202")
 	void attemptBeginsAtMostOnceAndNeverAfterItWasRevoked(@ForAll("messages") List<Message> messages) {
-		Ledger otherLedger = new Ledger(4, 2);
+		AttemptLedger otherLedger = new AttemptLedger(4, 2);
 		Set<Long> begun = new HashSet<>();
 		Set<Long> revoked = new HashSet<>();
 		for (Message message : messages) {
--- a/entry/src/main/java/org/snowwind/entry/burn/BurnReporter.java
+++ b/entry/src/main/java/org/snowwind/entry/burn/BurnReporter.java
@@ -13,7 +13,7 @@
 import org.snowwind.config.snapshot.Snapshot;
 import org.snowwind.decide.burn.BurnAlert;
 import org.snowwind.decide.burn.BurnWindow;
-import org.snowwind.decide.burn.Tally;
+import org.snowwind.decide.burn.RequestCounts;
 import org.snowwind.model.resource.OrganisationSpec;
 import org.snowwind.model.resource.ServiceLevel;
 
@@ -82,7 +82,7 @@
 		for (BurnWindow window : BurnWindow.values()) {
 			burns.put(window, tally(counted, window.minutes()).burnRate(level.targetShare()));
 		}
-		Tally whole = tally(counted, BurnWindow.THREE_DAYS.minutes());
+		RequestCounts whole = tally(counted, BurnWindow.THREE_DAYS.minutes());
 		Map<String, Double> labelled = new LinkedHashMap<>();
 		burns.forEach((window, burn) -> labelled.put(window.label(), burn));
 		return new BurnReport.Row(key.organisation(), key.target(), level.targetShare(), 1 - whole.badShare(),
@@ -90,12 +90,12 @@
 				worstDataCentre(counted), lastHour(counted));
 	}
 
-	private Tally tally(List<Counted> counted, int minutes) {
+	private RequestCounts tally(List<Counted> counted, int minutes) {
 		long since = this.minuteNow - minutes;
 		return counted.stream()
 			.filter((one) -> one.line().minute() > since)
 			.map(Counted::tally)
-			.reduce(Tally.NONE, Tally::plus);
+			.reduce(RequestCounts.NONE, RequestCounts::plus);
 	}
 
 	private static Map<String, Long> topCauses(List<Counted> counted) {
@@ -113,8 +113,8 @@
 	}
 
 	private static String worstDataCentre(List<Counted> counted) {
-		Map<String, Tally> byPlace = new TreeMap<>();
-		counted.forEach((one) -> byPlace.merge(one.dataCentre(), one.tally(), Tally::plus));
+		Map<String, RequestCounts> byPlace = new TreeMap<>();
+		counted.forEach((one) -> byPlace.merge(one.dataCentre(), one.tally(), RequestCounts::plus));
 		return byPlace.entrySet()
 			.stream()
 			.max(Comparator.comparingDouble((place) -> place.getValue().badShare()))
@@ -124,12 +124,12 @@
 	}
 
 	private List<Double> lastHour(List<Counted> counted) {
-		Map<Long, Tally> byMinute = new TreeMap<>();
-		counted.forEach((one) -> byMinute.merge(one.line().minute(), one.tally(), Tally::plus));
+		Map<Long, RequestCounts> byMinute = new TreeMap<>();
+		counted.forEach((one) -> byMinute.merge(one.line().minute(), one.tally(), RequestCounts::plus));
 		List<Double> shares = new ArrayList<>();
 		for (long minute = this.minuteNow - LAST_MINUTES + 1; minute <= this.minuteNow; minute++) {
 			boolean known = this.observed.contains(minute);
-			shares.add(known ? byMinute.getOrDefault(minute, Tally.NONE).badShare() : GAP);
+			shares.add(known ? byMinute.getOrDefault(minute, RequestCounts.NONE).badShare() : GAP);
 		}
 		return shares;
 	}
@@ -139,9 +139,9 @@
 
 	private record Counted(String dataCentre, BurnLine line) {
 
-		private Tally tally() {
+		private RequestCounts tally() {
 			boolean good = BurnLine.GOOD.equals(this.line.cause());
-			return good ? new Tally(this.line.count(), 0) : new Tally(0, this.line.count());
+			return good ? new RequestCounts(this.line.count(), 0) : new RequestCounts(0, this.line.count());
 		}
 
 	}
