--- a/gateway/src/main/java/org/snowwind/gateway/backend/BackendLimit.java
+++ b/gateway/src/main/java/org/snowwind/gateway/backend/BackendLimit.java
@@ -1,8 +1,8 @@
 package org.snowwind.gateway.backend;
 
+import org.snowwind.decide.limit.AnnouncedLimit;
 import org.snowwind.decide.limit.GrantedRate;
 import org.snowwind.decide.limit.LimitReport;
-import org.snowwind.decide.limit.AnnouncedLimit;
 import org.snowwind.decide.limit.RateGrant;
 import org.snowwind.decide.limit.ServerLimit;
 import org.snowwind.gateway.registry.BackendIncarnation;
--- a/gateway/src/main/java/org/snowwind/gateway/backend/SharedLimits.java
+++ b/gateway/src/main/java/org/snowwind/gateway/backend/SharedLimits.java
@@ -11,10 +11,10 @@
 import java.util.stream.Stream;
 
 import org.snowwind.decide.limit.ArrivalRate;
-import org.snowwind.decide.limit.RateAllocator;
 import org.snowwind.decide.limit.LimitReport;
-import org.snowwind.decide.limit.RateGrant;
+import org.snowwind.decide.limit.RateAllocator;
 import org.snowwind.decide.limit.RateDemand;
+import org.snowwind.decide.limit.RateGrant;
 import org.snowwind.gateway.registry.BackendIncarnation;
 import org.snowwind.model.MonotonicClock;
 
--- a/gateway/src/main/java/org/snowwind/gateway/limit/LimitMessages.java
+++ b/gateway/src/main/java/org/snowwind/gateway/limit/LimitMessages.java
@@ -3,11 +3,11 @@
 import java.util.List;
 
 import org.snowwind.decide.limit.LimitReport;
-import org.snowwind.decide.limit.RateGrant;
 import org.snowwind.decide.limit.RateDemand;
+import org.snowwind.decide.limit.RateGrant;
 import org.snowwind.gateway.backend.SharedLimits.Grant;
-import org.snowwind.gateway.backend.SharedLimits.Wish;
 import org.snowwind.gateway.backend.SharedLimits.LimitAnnouncement;
+import org.snowwind.gateway.backend.SharedLimits.Wish;
 import org.snowwind.gateway.registry.BackendIncarnation;
 import org.snowwind.wire.generated.LimitGrant;
 import org.snowwind.wire.generated.LimitNews;
--- a/gateway/src/test/java/org/snowwind/gateway/backend/AdmissionTests.java
+++ b/gateway/src/test/java/org/snowwind/gateway/backend/AdmissionTests.java
@@ -7,8 +7,8 @@
 
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import org.snowwind.decide.limit.LimitReport;
 import org.snowwind.decide.limit.AnnouncedLimit;
+import org.snowwind.decide.limit.LimitReport;
 import org.snowwind.decide.limit.RateGrant;
 import org.snowwind.decide.notice.RampUp;
 import org.snowwind.decide.notice.ServerNotice;
